--- a/src/policy/copyLimit.ts
+++ b/src/policy/copyLimit.ts
@@ -1,42 +1,49 @@
 /**
- * Copies of experts that one rank takes in with one switch of maps, over all
- * sets.
+ * Limits how many experts one rank copies for one map switch, summed over all
+ * expert sets.
  *
- * Pattern: a shift of demand, every few seconds. All passes are slow
- * until the copies are made and the map is switched, and somewhat slower while
- * they are made. One copy a rank takes most of the load off the hottest ranks; a
- * second switch does the rest. A rank that turns slow is to be rid of all that
- * it holds.
+ * Demand can shift every few seconds. All passes are slow until the experts are
+ * copied and the map is switched, and somewhat slower while copies run. After a
+ * shift, one copy per rank removes most of the excess load from the most loaded
+ * ranks, and a second switch does the rest. Experts on a slow rank are moved
+ * away in as few switches as possible.
  */
 
-const FIRST_COPIES = 1;
-const LATER_COPIES = 2;
-/** Highest load over the mean from which the first, small switch pays. */
+/** At a high skew a small switch comes first, because it completes sooner. */
+const COPIES_AT_HIGH_SKEW = 1;
+const COPIES_AT_LOW_SKEW = 2;
+/** Skew (max over mean load of ranks) from which the small first switch pays. */
 const HIGH_SKEW = 1.9;
-/** Small experts are copied faster: so many fit into the time of a large one. */
-const FIRST_COPIES_MS = 60;
-const MAX_COPIES = 4;
+/** Small experts copy faster: as many as fit into the time of a large one. */
+const COPY_BUDGET_MS = 60;
+const MAX_COPIES_PER_RANK = 4;
 /**
- * A slow rank is to be rid of its experts with few switches, as long as it is
- * the one that makes passes long: by so much of the skew. Once it is empty, more
- * copies a rank only delay the map that answers the next shift.
+ * A slow rank determines the pass duration if it raises the skew by at least
+ * this much; its experts are then moved away with as many copies per switch as
+ * allowed. Once the rank is empty, more copies would only delay the map for the
+ * next demand shift.
  */
-const SLOW_RANK_SKEW = 0.5;
+const MIN_SLOW_RANK_SKEW = 0.5;
 
-/** What the number depends on. */
-export interface CopyInput {
-  /** Highest load over the mean, mean of the sets. */
+/** Inputs of the limit. */
+export interface CopyLimitInput {
+  /** Max over mean load of ranks, averaged over the expert sets. */
   readonly skew: number;
-  /** The same if all ranks were in order. */
+  /** The same, computed as if no rank were slow. */
   readonly skewIfInOrder: number;
-  /** Time that one copy takes, milliseconds. */
+  /** Duration of one copy, milliseconds. */
   readonly copyMs: number;
 }
 
-/** Copies a rank at most. */
-export function copiesARank({skew, skewIfInOrder, copyMs}: CopyInput): number {
-  if (skew - skewIfInOrder >= SLOW_RANK_SKEW) return MAX_COPIES;
-  const usual = skew >= HIGH_SKEW ? FIRST_COPIES : LATER_COPIES;
-  const inTime = Math.floor(FIRST_COPIES_MS / Math.max(1, copyMs));
-  return Math.min(MAX_COPIES, Math.max(usual, inTime));
+/** Maximum number of copies per rank for one map switch. */
+export function copiesARank({
+  skew,
+  skewIfInOrder,
+  copyMs,
+}: CopyLimitInput): number {
+  if (skew - skewIfInOrder >= MIN_SLOW_RANK_SKEW) return MAX_COPIES_PER_RANK;
+  const limitBySkew =
+    skew >= HIGH_SKEW ? COPIES_AT_HIGH_SKEW : COPIES_AT_LOW_SKEW;
+  const limitByTime = Math.floor(COPY_BUDGET_MS / Math.max(1, copyMs));
+  return Math.min(MAX_COPIES_PER_RANK, Math.max(limitBySkew, limitByTime));
 }
--- a/src/policy/expertSpread.ts
+++ b/src/policy/expertSpread.ts
@@ -1,63 +1,63 @@
 /**
- * Spreads the experts of one set over ranks that split each expert's tokens
- * evenly among the ranks that hold it.
+ * Plans which ranks hold the experts of one set, for engines that split the
+ * tokens of an expert evenly among the ranks that hold it.
  *
- * Pattern: a few experts draw several times the mean, others each
- * few seconds, and every pass waits for the rank with the most. With experts
- * dealt out in turn the most loaded rank has several times the mean, and all
- * streams wait for it. Changes are few: each copy of an expert is paid for and
- * slows passes down while it is made.
+ * A few experts get several times the mean demand, and which ones changes every
+ * few seconds. Every pass waits for the rank with the highest load, which has
+ * several times the mean if experts are assigned round robin. Plans make few
+ * changes, because each copy of an expert takes time and slows passes down
+ * while it runs.
  *
- * A rank that is slow makes every pass wait for it as if it had so many times
- * its load; what it holds goes to the others.
+ * A slow rank delays every pass as if its load were multiplied by its slowness,
+ * so its experts move to other ranks.
  */
 
-/** Experts by rank. */
-export type RankLists = readonly (readonly number[])[];
+/** Experts held by each rank. */
+export type ExpertsByRank = readonly (readonly number[])[];
 
-/** Times that the work of each rank takes as long as usual. */
+/** Factor by which the work of each rank takes longer than usual; 1 is normal. */
 export type RankSlowness = readonly number[];
 
-/** What one plan may do. */
+/** Limits of one plan. */
 export interface SpreadLimits {
-  /** Experts of the set that one rank can hold. */
+  /** Expert slots of one rank for this set. */
   readonly places: number;
-  /** Experts that one rank can take in with one change of maps. */
+  /** New experts that each rank may receive in one map switch. */
   readonly newOnRank: readonly number[];
-  /** Least fall of the highest load, in mean loads, that pays for one copy. */
+  /** Minimum decrease of the skew that pays for one copy. */
   readonly minGainPerCopy: number;
-  /** Most copies over all ranks. */
+  /** Maximum number of copies, summed over all ranks. */
   readonly maxCopies: number;
-  /** All in order when absent. */
+  /** Absent: no rank is slow. */
   readonly slowness?: RankSlowness;
 }
 
-/** A plan and what it is worth under the popularity that it was made for. */
+/** A plan with its effect under the popularity that it was made for. */
 export interface SpreadPlan {
-  readonly lists: RankLists;
+  readonly lists: ExpertsByRank;
   readonly copies: number;
-  /** Highest load over the mean, before and after. */
+  /** Max over mean load of ranks, slowness included. */
   readonly skewBefore: number;
   readonly skewAfter: number;
 }
 
-/** Ranks on which a move takes load away: the hottest and its next. */
+/** Number of most loaded ranks from which moves take load. */
 const HOT_RANKS = 2;
-/** Ranks that may take load over: the coolest ones. */
+/** Number of least loaded ranks to which moves may add load. */
 const COOL_RANKS = 12;
 
-/** Highest load over the mean of a spread. */
+/** Skew of a spread: max over mean load of ranks. */
 export function spreadSkew(
-  lists: RankLists,
+  lists: ExpertsByRank,
   popularity: readonly number[],
   slowness: RankSlowness = []
 ): number {
   return new Spread(lists, popularity, slowness).skew;
 }
 
-/** Looks for the copies that lower the highest load most. */
+/** Searches greedily for the copies that lower the highest load most. */
 export function planSpread(
-  current: RankLists,
+  current: ExpertsByRank,
   popularity: readonly number[],
   limits: SpreadLimits
 ): SpreadPlan {
@@ -71,24 +71,25 @@
     const skew = spread.skew;
     spread.apply(move);
     const gain = skew - spread.skew;
-    const isFlat = costBefore - spread.cost < costBefore * MIN_COST_RATIO;
-    if (isFlat || gain < -limits.minGainPerCopy) {
+    const isNegligible =
+      costBefore - spread.cost < costBefore * MIN_RELATIVE_COST_DROP;
+    if (isNegligible || gain < -limits.minGainPerCopy) {
       spread.apply(inverseOf(move));
       break;
     }
     copies += move.filter(change => change.add !== undefined).length;
   }
   const skewAfter = spread.skew;
-  const isWorth = skewBefore - skewAfter >= limits.minGainPerCopy * copies;
-  return isWorth && copies > 0
+  const isWorthwhile = skewBefore - skewAfter >= limits.minGainPerCopy * copies;
+  return isWorthwhile && copies > 0
     ? {lists: spread.toLists(), copies, skewBefore, skewAfter}
     : {lists: current, copies: 0, skewBefore, skewAfter: skewBefore};
 }
 
-/** A move that lowers the cost by less changes nothing that counts. */
-const MIN_COST_RATIO = 0.004;
+/** A move must lower the cost by at least this ratio to be applied. */
+const MIN_RELATIVE_COST_DROP = 0.004;
 
-/** On one rank: an expert that comes, one that goes, or both. */
+/** Adds an expert to a rank, drops one, or both. */
 interface Change {
   readonly rank: number;
   readonly add?: number;
@@ -98,43 +99,43 @@
 type Move = readonly Change[];
 
 /**
- * A spread while it is being changed; loads are in mean loads. A plan for a
- * large group weighs a hundred thousand moves on the loop that also serves
- * callers: the cost of a move is worked out from the few loads that it changes,
- * without making it.
+ * Mutable state of the search; loads are relative to the mean. A plan for a
+ * large group evaluates a hundred thousand moves on the event loop that also
+ * serves callers, so the cost of a move is computed only from the loads that it
+ * changes, without applying it.
  */
 class Spread {
   readonly loads: number[];
   private costSum = 0;
-  private readonly held: number[][];
-  private readonly holders: number[][];
-  /** Experts that the rank held at the beginning. */
-  private readonly original: readonly ReadonlySet<number>[];
-  /** Experts that a rank took in since. */
-  private readonly fresh: number[];
-  private readonly parts: readonly number[];
-  /** Change of each load by the move that is being weighed. */
+  private readonly expertsByRank: number[][];
+  private readonly ranksByExpert: number[][];
+  /** Experts that each rank held before the plan. */
+  private readonly initialExperts: readonly ReadonlySet<number>[];
+  /** Number of experts that each rank received since. */
+  private readonly addedByRank: number[];
+  private readonly loadByExpert: readonly number[];
+  /** Change of each load by the move under evaluation. */
   private readonly shift: number[];
-  private touched: number[] = [];
+  private affectedRanks: number[] = [];
 
   constructor(
-    lists: RankLists,
+    lists: ExpertsByRank,
     popularity: readonly number[],
     private readonly slowness: RankSlowness
   ) {
     const total = popularity.reduce((sum, part) => sum + part, 0) || 1;
-    this.parts = popularity.map(part => (part * lists.length) / total);
-    this.original = lists.map(list => new Set(list));
-    this.held = lists.map(list => [...list]);
-    this.holders = popularity.map(() => []);
-    this.fresh = lists.map(() => 0);
+    this.loadByExpert = popularity.map(part => (part * lists.length) / total);
+    this.initialExperts = lists.map(list => new Set(list));
+    this.expertsByRank = lists.map(list => [...list]);
+    this.ranksByExpert = popularity.map(() => []);
+    this.addedByRank = lists.map(() => 0);
     this.loads = lists.map(() => 0);
     this.shift = lists.map(() => 0);
     lists.forEach((list, rank) =>
-      list.forEach(expert => this.holders[expert]?.push(rank))
+      list.forEach(expert => this.ranksByExpert[expert]?.push(rank))
     );
-    this.holders.forEach((ranks, expert) => {
-      for (const rank of ranks) this.add(rank, this.shareOf(expert));
+    this.ranksByExpert.forEach((ranks, expert) => {
+      for (const rank of ranks) this.addLoad(rank, this.loadPerReplica(expert));
     });
   }
 
@@ -142,111 +143,119 @@
     return Math.max(...this.loads);
   }
 
-  /** Kept up to date with each change: a plan tries thousands of them. */
+  /** Sum of the costs of all loads, updated incrementally with each change. */
   get cost(): number {
     return this.costSum;
   }
 
   expertsOn(rank: number): readonly number[] {
-    return this.held[rank] ?? [];
+    return this.expertsByRank[rank] ?? [];
   }
 
-  holdersOf(expert: number): readonly number[] {
-    return this.holders[expert] ?? [];
+  ranksHolding(expert: number): readonly number[] {
+    return this.ranksByExpert[expert] ?? [];
   }
 
-  /** Whether a rank could hold one more expert that is new to it. */
-  mayTake(rank: number, expert: number, limits: SpreadLimits): boolean {
-    if (this.holdersOf(expert).includes(rank)) return false;
-    if (this.original[rank]?.has(expert)) return true;
-    return (this.fresh[rank] ?? 0) < (limits.newOnRank[rank] ?? 0);
+  /**
+   * Whether the rank lacks the expert and may receive it. An expert that it held
+   * before the plan needs no copy.
+   */
+  canAdd(rank: number, expert: number, limits: SpreadLimits): boolean {
+    if (this.ranksHolding(expert).includes(rank)) return false;
+    if (this.initialExperts[rank]?.has(expert)) return true;
+    return (this.addedByRank[rank] ?? 0) < (limits.newOnRank[rank] ?? 0);
   }
 
-  /** Sum of costs after a move, without making it. */
+  /** Cost after a move, without applying it. */
   costAfter(move: Move): number {
     for (const change of move) {
-      if (change.add !== undefined) this.weigh(change.add, move);
-      if (change.drop !== undefined && !adds(move, change.drop))
-        this.weigh(change.drop, move);
+      if (change.add !== undefined) this.addExpertDelta(change.add, move);
+      if (change.drop !== undefined && !addsExpert(move, change.drop))
+        this.addExpertDelta(change.drop, move);
     }
     let cost = this.costSum;
-    for (const rank of this.touched) {
+    for (const rank of this.affectedRanks) {
       const before = this.loads[rank] ?? 0;
       cost += costOf(before + (this.shift[rank] ?? 0)) - costOf(before);
       this.shift[rank] = 0;
     }
-    this.touched = [];
+    this.affectedRanks = [];
     return cost;
   }
 
   apply(move: Move): void {
     for (const {rank, add, drop} of move) {
-      if (add !== undefined) this.put(rank, add);
-      if (drop !== undefined) this.take(rank, drop);
+      if (add !== undefined) this.addReplica(rank, add);
+      if (drop !== undefined) this.removeReplica(rank, drop);
     }
   }
 
-  toLists(): RankLists {
-    return this.held.map(experts => [...experts].sort((a, b) => a - b));
+  toLists(): ExpertsByRank {
+    return this.expertsByRank.map(experts =>
+      [...experts].sort((a, b) => a - b)
+    );
   }
 
-  /** Load that one holder of the expert has by it. */
-  private shareOf(expert: number, holders = this.holdersOf(expert).length) {
-    return (this.parts[expert] ?? 0) / Math.max(1, holders);
+  /** Load that the expert puts on each rank that holds it. */
+  private loadPerReplica(
+    expert: number,
+    holders = this.ranksHolding(expert).length
+  ) {
+    return (this.loadByExpert[expert] ?? 0) / Math.max(1, holders);
   }
 
-  /** Adds up what the move changes by one expert. */
-  private weigh(expert: number, move: Move): void {
-    const holders = this.holdersOf(expert);
+  /** Accumulates the load changes that a move causes for one expert. */
+  private addExpertDelta(expert: number, move: Move): void {
+    const holders = this.ranksHolding(expert);
     let count = holders.length;
     for (const {add, drop} of move) {
       if (add === expert) count++;
       if (drop === expert) count--;
     }
-    const before = this.shareOf(expert);
-    const after = this.shareOf(expert, count);
-    for (const rank of holders) this.weighOn(rank, after - before);
+    const before = this.loadPerReplica(expert);
+    const after = this.loadPerReplica(expert, count);
+    for (const rank of holders) this.addRankDelta(rank, after - before);
     for (const {rank, add, drop} of move) {
-      if (add === expert) this.weighOn(rank, after);
-      if (drop === expert) this.weighOn(rank, -after);
+      if (add === expert) this.addRankDelta(rank, after);
+      if (drop === expert) this.addRankDelta(rank, -after);
     }
   }
 
-  private weighOn(rank: number, load: number): void {
-    this.touched.push(rank);
+  private addRankDelta(rank: number, load: number): void {
+    this.affectedRanks.push(rank);
     this.shift[rank] =
       (this.shift[rank] ?? 0) + load * (this.slowness[rank] ?? 1);
   }
 
-  private put(rank: number, expert: number): void {
-    this.reshare(expert, () => {
-      this.held[rank]?.push(expert);
-      this.holders[expert]?.push(rank);
+  private addReplica(rank: number, expert: number): void {
+    this.changeReplicas(expert, () => {
+      this.expertsByRank[rank]?.push(expert);
+      this.ranksByExpert[expert]?.push(rank);
     });
-    if (!this.original[rank]?.has(expert)) this.countFresh(rank, 1);
+    if (!this.initialExperts[rank]?.has(expert)) this.countAdded(rank, 1);
   }
 
-  private take(rank: number, expert: number): void {
-    this.reshare(expert, () => {
-      remove(this.held[rank] ?? [], expert);
-      remove(this.holders[expert] ?? [], rank);
+  private removeReplica(rank: number, expert: number): void {
+    this.changeReplicas(expert, () => {
+      remove(this.expertsByRank[rank] ?? [], expert);
+      remove(this.ranksByExpert[expert] ?? [], rank);
     });
-    if (!this.original[rank]?.has(expert)) this.countFresh(rank, -1);
+    if (!this.initialExperts[rank]?.has(expert)) this.countAdded(rank, -1);
   }
 
-  private countFresh(rank: number, by: number): void {
-    this.fresh[rank] = (this.fresh[rank] ?? 0) + by;
+  private countAdded(rank: number, by: number): void {
+    this.addedByRank[rank] = (this.addedByRank[rank] ?? 0) + by;
   }
 
-  private reshare(expert: number, change: () => void): void {
-    const before = this.shareOf(expert);
-    for (const rank of this.holdersOf(expert)) this.add(rank, -before);
+  private changeReplicas(expert: number, change: () => void): void {
+    const before = this.loadPerReplica(expert);
+    for (const rank of this.ranksHolding(expert)) this.addLoad(rank, -before);
     change();
-    const after = this.shareOf(expert);
-    for (const rank of this.holdersOf(expert)) this.add(rank, after);
+    const after = this.loadPerReplica(expert);
+    for (const rank of this.ranksHolding(expert)) this.addLoad(rank, after);
   }
 
-  private add(rank: number, load: number): void {
+  private addLoad(rank: number, load: number): void {
     const before = this.loads[rank] ?? 0;
     const after = before + load * (this.slowness[rank] ?? 1);
     this.loads[rank] = after;
@@ -259,7 +268,7 @@
   if (index >= 0) list.splice(index, 1);
 }
 
-function adds(move: Move, expert: number): boolean {
+function addsExpert(move: Move, expert: number): boolean {
   return move.some(({add}) => add === expert);
 }
 
@@ -269,7 +278,7 @@
     .map(({rank, add, drop}) => ({rank, add: drop, drop: add}));
 }
 
-/** Steep, so that the highest loads decide. */
+/** Eighth power: the highest loads dominate the sum. */
 function costOf(load: number): number {
   const square = load * load;
   const fourth = square * square;
@@ -278,28 +287,28 @@
 
 function bestMove(spread: Spread, limits: SpreadLimits): Move | undefined {
   let best: Move | undefined;
-  let least = spread.cost;
-  const order = byLoad(spread);
+  let lowestCost = spread.cost;
+  const order = ranksByLoad(spread);
   const cool = order.slice(-COOL_RANKS);
   for (const hot of order.slice(0, HOT_RANKS))
     for (const move of movesFrom(spread, hot, cool, limits)) {
       const cost = spread.costAfter(move);
-      if (cost >= least) continue;
-      least = cost;
+      if (cost >= lowestCost) continue;
+      lowestCost = cost;
       best = move;
     }
   return best;
 }
 
-/** Ranks from the hottest to the coolest. */
-function byLoad(spread: Spread): readonly number[] {
+/** Ranks by decreasing load. */
+function ranksByLoad(spread: Spread): readonly number[] {
   return spread.loads
     .map((load, rank) => ({load, rank}))
     .sort((a, b) => b.load - a.load)
     .map(({rank}) => rank);
 }
 
-/** Ways to take load from a hot rank: one more holder, a swap, a drop. */
+/** Moves that take load from a hot rank: a further replica, a swap or a drop. */
 function* movesFrom(
   spread: Spread,
   hot: number,
@@ -308,10 +317,11 @@
 ): Generator<Move> {
   const hotLoad = spread.loads[hot] ?? 0;
   for (const expert of spread.expertsOn(hot)) {
-    if (spread.holdersOf(expert).length > 1) yield [{rank: hot, drop: expert}];
+    if (spread.ranksHolding(expert).length > 1)
+      yield [{rank: hot, drop: expert}];
     for (const rank of cool) {
       if (rank === hot || (spread.loads[rank] ?? 0) >= hotLoad) continue;
-      if (!spread.mayTake(rank, expert, limits)) continue;
+      if (!spread.canAdd(rank, expert, limits)) continue;
       yield* movesTo(spread, hot, rank, expert, limits);
     }
   }
@@ -324,15 +334,15 @@
   expert: number,
   limits: SpreadLimits
 ): Generator<Move> {
-  const there = spread.expertsOn(rank);
-  if (there.length < limits.places) yield [{rank, add: expert}];
-  for (const other of there) {
-    const isSpare = spread.holdersOf(other).length > 1;
-    if (isSpare) yield [{rank, add: expert, drop: other}];
-    else if (spread.mayTake(hot, other, limits))
+  const held = spread.expertsOn(rank);
+  if (held.length < limits.places) yield [{rank, add: expert}];
+  for (const replaced of held) {
+    const hasOtherReplica = spread.ranksHolding(replaced).length > 1;
+    if (hasOtherReplica) yield [{rank, add: expert, drop: replaced}];
+    else if (spread.canAdd(hot, replaced, limits))
       yield [
-        {rank, add: expert, drop: other},
-        {rank: hot, add: other, drop: expert},
+        {rank, add: expert, drop: replaced},
+        {rank: hot, add: replaced, drop: expert},
       ];
   }
 }
--- a/tests/expertSpread.spec.ts
+++ b/tests/expertSpread.spec.ts
@@ -9,14 +9,14 @@
   maxCopies: 12,
 };
 
-/** Demand that falls off as it does in service: one expert takes a quarter. */
+/** Skewed demand as in production: one expert gets a quarter of it. */
 function demand(order: (rank: number) => number): number[] {
   const counts = Array.from({length: EXPERTS}, () => 0);
   for (let i = 0; i < EXPERTS; i++) counts[order(i)] = 1_000 / (i + 1) ** 1.1;
   return counts;
 }
 
-function dealtInTurn(): number[][] {
+function roundRobin(): number[][] {
   return Array.from({length: RANKS}, (_, rank) =>
     Array.from({length: EXPERTS}, (_, expert) => expert).filter(
       expert => expert % RANKS === rank
@@ -25,10 +25,10 @@
 }
 
 describe('spread of experts', () => {
-  // A shift puts a quarter of the work on one expert that stands on one rank:
+  // After a shift one expert, held by one rank, gets a quarter of the load, and
   // every pass waits for that rank.
-  it('should halve the highest load with one copy a rank', () => {
-    const lists = dealtInTurn();
+  it('should halve the highest load with one copy per rank', () => {
+    const lists = roundRobin();
     const popularity = demand(i => (i * 31) % EXPERTS);
     const plan = planSpread(lists, popularity, LIMITS);
     expect(plan.skewBefore).toBeGreaterThan(3);
@@ -36,14 +36,14 @@
     expect(spreadSkew(plan.lists, popularity)).toBeCloseTo(plan.skewAfter);
   });
 
-  // One rank turns slow, and with it every pass: all streams get late events,
-  // however few there are. What the rank holds goes to the others, step by step.
-  it('should take the experts off a slow rank', () => {
+  // One rank becomes slow and delays every pass, so all streams get late events
+  // even at low load. Its experts move to other ranks over several switches.
+  it('should move the experts off a slow rank', () => {
     const popularity = demand(i => (i * 31) % EXPERTS);
-    const slowness = dealtInTurn().map((_, rank) => (rank === 4 ? 5 : 1));
+    const slowness = roundRobin().map((_, rank) => (rank === 4 ? 5 : 1));
     const newOnRank = slowness.map(() => 3);
     const limits = {...LIMITS, newOnRank, maxCopies: 24, slowness};
-    let lists: readonly (readonly number[])[] = dealtInTurn();
+    let lists: readonly (readonly number[])[] = roundRobin();
     const before = spreadSkew(lists, popularity, slowness);
     for (let switches = 0; switches < 3; switches++)
       lists = planSpread(lists, popularity, limits).lists;
@@ -53,8 +53,8 @@
     expect(new Set(lists.flat()).size).toBe(EXPERTS);
   });
 
-  it('should keep every expert somewhere, within all places', () => {
-    const lists = dealtInTurn();
+  it('should keep every expert on some rank, within the slots of each rank', () => {
+    const lists = roundRobin();
     const plan = planSpread(
       lists,
       demand(i => (i * 29) % EXPERTS),
@@ -65,23 +65,23 @@
       expect(new Set(list).size).toBe(list.length);
       expect(list.length).toBeLessThanOrEqual(LIMITS.places);
       const held = lists[rank] ?? [];
-      const fresh = list.filter(expert => !held.includes(expert));
-      expect(fresh.length).toBeLessThanOrEqual(1);
+      const added = list.filter(expert => !held.includes(expert));
+      expect(added.length).toBeLessThanOrEqual(1);
     }
   });
 
-  it('should change nothing while all experts are in like demand', () => {
+  it('should change nothing while all experts have equal demand', () => {
     const popularity = Array.from({length: EXPERTS}, () => 5);
-    const plan = planSpread(dealtInTurn(), popularity, LIMITS);
+    const plan = planSpread(roundRobin(), popularity, LIMITS);
     expect(plan.copies).toBe(0);
   });
 
-  // Planning runs between requests on the leader: a large group must not hold
-  // them up. The bound is in moves, not in time.
-  it('should stop at the copies that it may make', () => {
+  // Planning runs on the event loop of the leader, and a large group must not
+  // delay requests there. The bound is a number of copies, not a duration.
+  it('should stop at the maximum number of copies', () => {
     const popularity = demand(i => (i * 31) % EXPERTS);
     const few = {...LIMITS, maxCopies: 3};
-    const plan = planSpread(dealtInTurn(), popularity, few);
+    const plan = planSpread(roundRobin(), popularity, few);
     expect(plan.copies).toBeLessThanOrEqual(4);
     expect(plan.skewAfter).toBeLessThan(plan.skewBefore);
   });
