--- a/src/policy/placement.ts
+++ b/src/policy/placement.ts
@@ -1,14 +1,14 @@
-/** Expert placement: the shape of a group, loads by rank, and their skew. */
+/** Expert placement: slots of a group of ranks, load of each rank, and skew. */
 
 import type {ExpertMap} from '../core/mapMessages';
 
-/** Tokens by expert; only the proportions matter. */
+/** Tokens by expert; only the ratios matter. */
 export type Popularity = readonly number[];
 
-/** The slots of a group of ranks, for one layer. */
+/** Number of experts and slots of a group of ranks, for one layer. */
 export interface PlacementShape {
   readonly experts: number;
-  /** Slots of each rank. */
+  /** Number of slots of each rank. */
   readonly slotsByRank: readonly number[];
 }
 
@@ -18,27 +18,27 @@
   readonly slot: number;
 }
 
-/** A slot that gets another expert: one load from the weight store. */
+/** Puts another expert into a slot, which loads its weights from the store. */
 export interface SlotChange extends SlotRef {
   readonly expert: number;
 }
 
-/** Spreads the slots for experts and spares as evenly as possible. */
+/** Distributes the slots of all experts and spare replicas evenly over ranks. */
 export function evenShape(
   ranks: number,
   experts: number,
   spareSlots: number
 ): PlacementShape {
   const total = experts + spareSlots;
-  const least = Math.floor(total / ranks);
-  const extra = total % ranks;
+  const minSlots = Math.floor(total / ranks);
+  const remainder = total % ranks;
   const slotsByRank = Array.from({length: ranks}, (_, rank) =>
-    rank < extra ? least + 1 : least
+    rank < remainder ? minSlots + 1 : minSlots
   );
   return {experts, slotsByRank};
 }
 
-/** The shape that a map has. */
+/** Shape of an expert map. */
 export function shapeOf(map: ExpertMap): PlacementShape {
   const experts = 1 + Math.max(...map.slots.flat());
   return {experts, slotsByRank: map.slots.map(slots => slots.length)};
@@ -59,19 +59,19 @@
   });
 }
 
-/** Slowest rank over the mean rank; 1 is perfect balance. */
+/** Max over mean load of ranks; 1 is perfect balance. */
 export function skewOf(loads: readonly number[]): number {
   const total = loads.reduce((sum, load) => sum + load, 0);
   if (total === 0) return 1;
   return (Math.max(...loads) * loads.length) / total;
 }
 
-/** Skew of a map under a popularity. */
+/** Skew of a map under a given popularity. */
 export function mapSkew(map: ExpertMap, popularity: Popularity): number {
   return skewOf(rankLoads(map, popularity));
 }
 
-/** Number of slots of a rank whose expert the rank did not hold before. */
+/** Number of experts that each rank must load because it did not hold them. */
 export function loadsNeeded(
   from: ExpertMap | undefined,
   to: ExpertMap
@@ -82,7 +82,7 @@
   });
 }
 
-/** Splits each expert evenly over its replicas, as engines do by default. */
+/** Gives all replicas of an expert equal shares, as engines do by default. */
 export function withEvenShares(slots: ExpertMap['slots']): ExpertMap {
   const replicas = new Map<number, number>();
   for (const expert of slots.flat())
@@ -93,7 +93,7 @@
   return {slots, shares};
 }
 
-/** Popularity scaled so that the mean rank has load 1. */
+/** Scales popularity so that the mean load of ranks is 1. */
 export function scaledToMeanRank(
   popularity: Popularity,
   ranks: number
--- a/src/policy/placementBound.ts
+++ b/src/policy/placementBound.ts
@@ -5,17 +5,21 @@
 
 const PRECISION = 1e-6;
 
-/** Replicas beyond the first that every expert needs, if no rank exceeds `most`. */
-function sparesNeeded(loads: readonly number[], most: number): number {
+/** Replicas beyond one per expert that keep each replica within `maxLoad`. */
+function spareReplicasNeeded(
+  loads: readonly number[],
+  maxLoad: number
+): number {
   return loads.reduce(
-    (sum, load) => sum + Math.max(0, Math.ceil(load / most - PRECISION) - 1),
+    (sum, load) => sum + Math.max(0, Math.ceil(load / maxLoad - PRECISION) - 1),
     0
   );
 }
 
 /**
- * Lower bound on slowest over mean rank. An expert with load above the bound
- * must stand on several ranks, and the spare slots limit how many in all.
+ * Lower bound on the skew (max over mean load of ranks). An expert whose load
+ * exceeds the bound needs replicas on several ranks, and the number of spare
+ * slots limits the replicas of all experts.
  */
 export function skewLowerBound(
   shape: PlacementShape,
@@ -25,12 +29,12 @@
   const slots = shape.slotsByRank.reduce((sum, count) => sum + count, 0);
   const spares = slots - shape.experts;
   const loads = scaledToMeanRank(popularity, ranks);
-  if (sparesNeeded(loads, 1) <= spares) return 1;
+  if (spareReplicasNeeded(loads, 1) <= spares) return 1;
   let low = 1;
   let high = Math.max(...loads);
   while (high - low > PRECISION) {
     const middle = (low + high) / 2;
-    if (sparesNeeded(loads, middle) <= spares) high = middle;
+    if (spareReplicasNeeded(loads, middle) <= spares) high = middle;
     else low = middle;
   }
   return low;
--- a/src/policy/placementGreedy.ts
+++ b/src/policy/placementGreedy.ts
@@ -1,10 +1,13 @@
-/** Placement from scratch: replicate the hottest, then pack the largest first. */
+/** Placement from scratch: replicate the hottest experts, then pack greedily. */
 
 import type {ExpertMap} from '../core/mapMessages';
 import type {PlacementShape, Popularity} from './placement';
 import {withEvenShares} from './placement';
 
-/** Replicas of each expert: every spare slot goes to the largest load a replica. */
+/**
+ * Number of replicas of each expert: every spare slot goes to the expert with
+ * the highest load per replica.
+ */
 export function greedyReplicas(
   shape: PlacementShape,
   popularity: Popularity
@@ -14,11 +17,11 @@
   const replicas = Array.from({length: shape.experts}, () => 1);
   for (let spare = total - shape.experts; spare > 0; spare--) {
     let hottest = 0;
-    let most = -1;
+    let highestLoad = -1;
     replicas.forEach((count, expert) => {
       const load = (popularity[expert] ?? 0) / count;
-      if (count >= ranks || load <= most) return;
-      most = load;
+      if (count >= ranks || load <= highestLoad) return;
+      highestLoad = load;
       hottest = expert;
     });
     replicas[hottest] = (replicas[hottest] ?? 1) + 1;
@@ -26,13 +29,13 @@
   return replicas;
 }
 
-interface Item {
+interface Replica {
   readonly expert: number;
   readonly load: number;
 }
 
-/** The rank with the least load that has a free slot and lacks the expert. */
-function leastLoaded(
+/** Least loaded rank that has a free slot and does not hold the expert. */
+function leastLoadedRank(
   shape: PlacementShape,
   placed: readonly (readonly number[])[],
   loads: readonly number[],
@@ -40,8 +43,8 @@
 ): number {
   let best = -1;
   placed.forEach((slots, rank) => {
-    const free = slots.length < (shape.slotsByRank[rank] ?? 0);
-    if (!free || slots.includes(expert)) return;
+    const hasFreeSlot = slots.length < (shape.slotsByRank[rank] ?? 0);
+    if (!hasFreeSlot || slots.includes(expert)) return;
     if (best < 0 || (loads[rank] ?? 0) < (loads[best] ?? 0)) best = rank;
   });
   return best >= 0
@@ -49,13 +52,13 @@
     : placed.findIndex((s, r) => s.length < (shape.slotsByRank[r] ?? 0));
 }
 
-/** Greedy replicate-and-pack with an even split; ignores what stands where. */
+/** Places experts greedily with equal shares, ignoring the current placement. */
 export function placeFromScratch(
   shape: PlacementShape,
   popularity: Popularity
 ): ExpertMap {
   const items = greedyReplicas(shape, popularity).flatMap((count, expert) =>
-    Array.from({length: count}, (): Item => ({
+    Array.from({length: count}, (): Replica => ({
       expert,
       load: (popularity[expert] ?? 0) / count,
     }))
@@ -64,7 +67,7 @@
   const placed: number[][] = shape.slotsByRank.map(() => []);
   const loads = shape.slotsByRank.map(() => 0);
   for (const {expert, load} of items) {
-    const rank = leastLoaded(shape, placed, loads, expert);
+    const rank = leastLoadedRank(shape, placed, loads, expert);
     placed[rank]?.push(expert);
     loads[rank] = (loads[rank] ?? 0) + load;
   }
@@ -72,8 +75,9 @@
 }
 
 /**
- * Gives the rows of a new map to the ranks that already hold most of each, so
- * that solving from scratch is not charged for mere renumbering.
+ * Assigns the rows of a new map to the ranks that already hold most of their
+ * experts. Otherwise a placement from scratch would load weights only because
+ * its ranks are numbered differently.
  */
 export function relabelToFewestLoads(
   from: ExpertMap,
@@ -88,13 +92,13 @@
   );
   pairs.sort((a, b) => b.common - a.common || a.rank - b.rank);
   const rowOf = new Map<number, number>();
-  const used = new Set<number>();
+  const assignedRows = new Set<number>();
   for (const {index, rank} of pairs) {
-    if (rowOf.has(rank) || used.has(index)) continue;
+    if (rowOf.has(rank) || assignedRows.has(index)) continue;
     rowOf.set(rank, index);
-    used.add(index);
+    assignedRows.add(index);
   }
-  const pick = <T>(table: readonly T[]): T[] =>
+  const reorder = <T>(table: readonly T[]): T[] =>
     from.slots.map((_, rank) => table[rowOf.get(rank) ?? rank] as T);
-  return {slots: pick(to.slots), shares: pick(to.shares)};
+  return {slots: reorder(to.slots), shares: reorder(to.shares)};
 }
--- a/src/policy/placementSplit.ts
+++ b/src/policy/placementSplit.ts
@@ -1,36 +1,38 @@
 /**
- * How the tokens of an expert are split over its replicas, for the least load
- * of the slowest rank. The reachable loads form a base polytope, so the split
- * with the least sum of squares also has the least maximum; filling one expert
- * after the other to a common level converges to it.
+ * Splits the tokens of each expert over its replicas to minimize the load of the
+ * most loaded rank. The reachable loads form a base polytope, so the split with
+ * the least sum of squares also has the least maximum. Water-filling one expert
+ * after the other converges to it.
  */
 
 import type {ExpertMap} from '../core/mapMessages';
 import type {Popularity, SlotChange} from './placement';
 import {scaledToMeanRank} from './placement';
 
-const ENOUGH = 1e-5;
-/** Typical error of a rank's predicted load, in mean loads. */
-const LOAD_ERROR = 0.01;
+/** Load moved by one sweep, in mean loads, below which the split is final. */
+const CONVERGENCE_TOLERANCE = 1e-5;
+/** Typical error of the predicted load of a rank, in mean loads. */
+const PREDICTION_ERROR = 0.01;
 
 interface Replica {
   readonly rank: number;
   readonly slot: number;
+  /** Load of this replica, in mean loads of ranks. */
   amount: number;
 }
 
-/** Ranks partitioned by whether load can pass between them. */
-export interface LevelGroups {
-  /** Number of the group of each rank. */
+/** Partition of ranks: load can be shifted between the ranks of one group. */
+export interface SharingGroups {
+  /** Group number of each rank. */
   readonly groupOf: readonly number[];
-  /** Ranks in each group, by its number. */
+  /** Number of ranks in each group. */
   readonly sizes: readonly number[];
 }
 
-/** Whether engines take shares; those that do not split evenly. */
+/** 'weighted' if engines accept shares, 'even' if they split tokens equally. */
 export type Splitting = 'weighted' | 'even';
 
-/** Slots, loads and split of one group while a plan is searched. */
+/** Mutable slots, loads and split of one group during the search for a plan. */
 export class SplitState {
   private constructor(
     readonly popularity: readonly number[],
@@ -40,7 +42,7 @@
     private readonly splitting: Splitting
   ) {}
 
-  /** Starts from a map; loads are scaled so that their mean is 1. */
+  /** Creates the state of a map; loads are scaled so that their mean is 1. */
   static of(
     map: ExpertMap,
     popularity: Popularity,
@@ -87,7 +89,7 @@
     return this.slotsOf(rank).includes(expert);
   }
 
-  /** Puts another expert into a slot and refills the two experts. */
+  /** Puts another expert into a slot and splits both experts anew. */
   change(change: SlotChange): void {
     const {rank, slot, expert} = change;
     const old = this.expertAt(rank, slot);
@@ -102,7 +104,7 @@
     this.fill(expert);
   }
 
-  /** Fills every replicated expert, until nothing moves or `sweeps` is over. */
+  /** Splits all replicated experts anew until convergence or `sweeps` rounds. */
   relax(sweeps: number): void {
     const replicated = this.replicas.flatMap((list, expert) =>
       list.length > 1 ? [expert] : []
@@ -110,33 +112,30 @@
     for (let sweep = 0; sweep < sweeps; sweep++) {
       let moved = 0;
       for (const expert of replicated) moved += this.fill(expert);
-      if (moved < ENOUGH) return;
+      if (moved < CONVERGENCE_TOLERANCE) return;
     }
   }
 
   /**
-   * Expected slowest rank when the loads are known up to an error: a smooth
-   * maximum, which also counts how many ranks stand near the top.
+   * Expected skew when loads are known up to an error: a smooth maximum that
+   * grows with the number of ranks close to the highest load.
    */
   softSkew(): number {
-    const most = this.skew();
+    const maxLoad = this.skew();
     const sum = this.loads.reduce(
-      (total, load) => total + Math.exp((load - most) / LOAD_ERROR),
+      (total, load) => total + Math.exp((load - maxLoad) / PREDICTION_ERROR),
       0
     );
-    return most + LOAD_ERROR * Math.log(sum);
+    return maxLoad + PREDICTION_ERROR * Math.log(sum);
   }
 
   skew(): number {
     return Math.max(...this.loads);
   }
 
-  /**
-   * Ranks that can pass load to each other through experts that they share;
-   * by rank, the number of such ranks and itself.
-   */
-  levelGroups(): LevelGroups {
-    if (this.splitting === 'even') return ungrouped(this.loads.length);
+  /** Groups the ranks that can shift load through the experts that they share. */
+  sharingGroups(): SharingGroups {
+    if (this.splitting === 'even') return singletonGroups(this.loads.length);
     const parent = this.loads.map((_, rank) => rank);
     const rootOf = (rank: number): number => {
       let root = rank;
@@ -161,8 +160,8 @@
       const total = this.popularity[expert] ?? 0;
       for (const {rank, slot, amount} of list) {
         const row = shares[rank];
-        // Rounding can lift a sole replica a hair above 1, and ranks refuse a
-        // map with such a share, so that no map is ever switched.
+        // Rounding can raise the share of an only replica slightly above 1. Ranks
+        // reject a map with such a share, which would block all map switches.
         const share = total > 0 ? amount / total : 1 / list.length;
         if (row) row[slot] = Math.min(1, share);
       }
@@ -174,18 +173,18 @@
     this.loads[rank] = (this.loads[rank] ?? 0) + amount;
   }
 
-  /** Levels the ranks that hold the expert; returns the load that moved. */
+  /** Levels the ranks that hold the expert; returns the load that was shifted. */
   private fill(expert: number): number {
     const list = this.replicas[expert] ?? [];
     const total = this.popularity[expert] ?? 0;
-    const base = list.map(r => (this.loads[r.rank] ?? 0) - r.amount);
-    const level = waterLevel(base, total);
+    const otherLoads = list.map(r => (this.loads[r.rank] ?? 0) - r.amount);
+    const level = waterLevel(otherLoads, total);
     let moved = 0;
     list.forEach((replica, index) => {
       const amount =
         this.splitting === 'even'
           ? total / list.length
-          : Math.max(0, level - (base[index] ?? 0));
+          : Math.max(0, level - (otherLoads[index] ?? 0));
       moved += Math.abs(amount - replica.amount);
       this.addLoad(replica.rank, amount - replica.amount);
       replica.amount = amount;
@@ -194,13 +193,13 @@
   }
 }
 
-/** With an even split no load passes between ranks. */
-function ungrouped(ranks: number): LevelGroups {
+/** With an even split no load can be shifted between ranks. */
+function singletonGroups(ranks: number): SharingGroups {
   const groupOf = Array.from({length: ranks}, (_, rank) => rank);
   return {groupOf, sizes: groupOf.map(() => 1)};
 }
 
-/** The level to which `total` fills vessels that start at `base`. */
+/** Water-filling: the level reached when `total` is poured over `base` levels. */
 export function waterLevel(base: readonly number[], total: number): number {
   const sorted = [...base].sort((a, b) => a - b);
   let sum = 0;
@@ -213,16 +212,16 @@
   return total;
 }
 
-/** Sweeps for a split that is put in force. */
-export const FULL_SWEEPS = 60;
+/** Maximum number of sweeps for a split that is applied. */
+export const MAX_SWEEPS = 60;
 
-/** The same slots with the best split for a popularity. */
+/** The same slots with the best split for a given popularity. */
 export function withBestShares(
   map: ExpertMap,
   popularity: Popularity,
   splitting: Splitting = 'weighted'
 ): ExpertMap {
   const state = SplitState.of(map, popularity, splitting);
-  state.relax(FULL_SWEEPS);
+  state.relax(MAX_SWEEPS);
   return state.toMap();
 }
--- a/src/policy/popularity.ts
+++ b/src/policy/popularity.ts
@@ -1,49 +1,53 @@
 /**
- * Popularity of experts from reports that come late, out of order and with
- * gaps. Each expert has a line fitted by least squares with exponentially
- * decaying weights; where the slope is significant it is followed to the time
- * at which a map can be in force.
+ * Estimates the popularity of experts from samples that arrive late, out of
+ * order and with gaps. The share of each expert is fitted by a least-squares
+ * line with exponentially decaying weights. A significant slope is extrapolated
+ * to the time when a new map can be active.
  */
 
-/** Tokens by expert over a span, as one rank reported them. */
+/** Tokens by expert during one interval, as reported by one rank. */
 export interface PopularitySample {
-  /** Middle of the counted span, milliseconds on the caller's clock. */
+  /** Middle of the interval, milliseconds on the clock of `predict`. */
   readonly atMs: number;
   readonly counts: readonly number[];
 }
 
-/** How quickly old samples lose weight, and how far a trend is trusted. */
+/** Decay of old samples and limits of extrapolation. */
 export interface PopularityConfig {
   readonly halfLifeMs: number;
-  /** A slope below this many standard errors is taken for noise. */
-  readonly significantSlope: number;
-  /** Furthest that a trend is followed beyond the newest sample. */
-  readonly maxAheadMs: number;
+  /** A slope below this many standard errors is treated as noise. */
+  readonly minSlopeErrors: number;
+  /** Maximum time that a trend is extrapolated beyond the newest sample. */
+  readonly maxExtrapolationMs: number;
 }
 
 /** Defaults; docs/DESIGN.md has the measurements behind them. */
 export const POPULARITY_DEFAULTS: PopularityConfig = {
   halfLifeMs: 500,
-  significantSlope: 1,
-  maxAheadMs: 5000,
+  minSlopeErrors: 1,
+  maxExtrapolationMs: 5000,
 };
 
-/** Decayed sums of time and share; times are relative to `originMs`. */
+/** Weighted sums over samples; times are relative to `originMs`. */
 interface Sums {
   weight: number;
   time: number;
   timeSquared: number;
 }
 
-const MIN_RELATIVE_SPREAD = 0.05;
+/**
+ * Minimum standard deviation of sample times for a slope to be fitted, as a
+ * ratio of the half-life.
+ */
+const MIN_TIME_DEVIATION_RATIO = 0.05;
 
-/** What the planner asks of an estimate; the bench also has a perfect one. */
+/** Forecast that the planner uses; the bench also implements a perfect one. */
 export type PopularityForecast = Pick<
   PopularityEstimate,
   'known' | 'add' | 'predict'
 >;
 
-/** Estimates the share of each expert in the tokens of a group. */
+/** Estimates the share of each expert in all tokens of a group. */
 export class PopularityEstimate {
   private readonly sums: Sums = {weight: 0, time: 0, timeSquared: 0};
   private readonly share: Float64Array;
@@ -61,7 +65,7 @@
     this.shareSquared = new Float64Array(experts);
   }
 
-  /** Whether any sample has come. */
+  /** Whether any valid sample was added. */
   get known(): boolean {
     return this.sums.weight > 0;
   }
@@ -70,7 +74,7 @@
     return this.newestMs;
   }
 
-  /** Takes a sample of any age; a late one enters with the weight it has left. */
+  /** Adds a sample of any age; a late one counts with its decayed weight. */
   add(sample: PopularitySample): void {
     const total = sample.counts.reduce((sum, count) => sum + count, 0);
     if (total <= 0 || sample.counts.length !== this.experts) return;
@@ -86,31 +90,33 @@
     this.newestMs = Math.max(this.newestMs, sample.atMs);
   }
 
-  /** Expected share of each expert at a time; they add up to 1. */
+  /** Expected share of each expert at a given time; shares add up to 1. */
   predict(atMs: number): readonly number[] {
     if (!this.known)
       return new Array<number>(this.experts).fill(1 / this.experts);
-    const ahead = Math.min(atMs - this.newestMs, this.cfg.maxAheadMs);
-    const time = this.newestMs + ahead - (this.originMs ?? 0);
-    const raw = Array.from({length: this.experts}, (_, expert) =>
+    const aheadMs = Math.min(atMs - this.newestMs, this.cfg.maxExtrapolationMs);
+    const time = this.newestMs + aheadMs - (this.originMs ?? 0);
+    const unscaled = Array.from({length: this.experts}, (_, expert) =>
       this.predictExpert(expert, time)
     );
-    const total = raw.reduce((sum, value) => sum + value, 0);
-    return raw.map(value => value / total);
+    const total = unscaled.reduce((sum, value) => sum + value, 0);
+    return unscaled.map(value => value / total);
   }
 
   private predictExpert(expert: number, time: number): number {
     const {weight, time: sumTime, timeSquared} = this.sums;
     const meanTime = sumTime / weight;
     const mean = (this.share[expert] ?? 0) / weight;
-    const spread = timeSquared / weight - meanTime * meanTime;
-    if (spread < (MIN_RELATIVE_SPREAD * this.cfg.halfLifeMs) ** 2) return mean;
+    const timeVariance = timeSquared / weight - meanTime * meanTime;
+    if (timeVariance < (MIN_TIME_DEVIATION_RATIO * this.cfg.halfLifeMs) ** 2)
+      return mean;
     const covariance = (this.shareTime[expert] ?? 0) / weight - meanTime * mean;
-    const variance = (this.shareSquared[expert] ?? 0) / weight - mean * mean;
-    const slope = covariance / spread;
-    const residual = Math.max(0, variance - slope * covariance);
-    const error = Math.sqrt(residual / spread / Math.max(1, weight));
-    if (Math.abs(slope) < this.cfg.significantSlope * error) return mean;
+    const shareVariance =
+      (this.shareSquared[expert] ?? 0) / weight - mean * mean;
+    const slope = covariance / timeVariance;
+    const residual = Math.max(0, shareVariance - slope * covariance);
+    const slopeError = Math.sqrt(residual / timeVariance / Math.max(1, weight));
+    if (Math.abs(slope) < this.cfg.minSlopeErrors * slopeError) return mean;
     return Math.max(mean / 4, mean + slope * (time - meanTime));
   }
 
@@ -131,21 +137,21 @@
     return 2 ** (-ageMs / this.cfg.halfLifeMs);
   }
 
-  /** Moves time zero forward: decays all sums and shifts their times. */
+  /** Moves the origin of time forward: decays all sums and shifts their times. */
   private moveOrigin(atMs: number): void {
-    const by = atMs - (this.originMs ?? atMs);
+    const shiftMs = atMs - (this.originMs ?? atMs);
     this.originMs = atMs;
-    if (by === 0) return;
-    const factor = this.decay(by);
+    if (shiftMs === 0) return;
+    const factor = this.decay(shiftMs);
     const {weight, time, timeSquared} = this.sums;
     this.sums.timeSquared =
-      factor * (timeSquared - 2 * by * time + by * by * weight);
-    this.sums.time = factor * (time - by * weight);
+      factor * (timeSquared - 2 * shiftMs * time + shiftMs * shiftMs * weight);
+    this.sums.time = factor * (time - shiftMs * weight);
     this.sums.weight = factor * weight;
     for (let expert = 0; expert < this.experts; expert++) {
       const share = this.share[expert] ?? 0;
       const shareTime = this.shareTime[expert] ?? 0;
-      this.shareTime[expert] = factor * (shareTime - by * share);
+      this.shareTime[expert] = factor * (shareTime - shiftMs * share);
       this.share[expert] = factor * share;
       this.shareSquared[expert] = factor * (this.shareSquared[expert] ?? 0);
     }
--- a/src/policy/rebalance.ts
+++ b/src/policy/rebalance.ts
@@ -1,59 +1,61 @@
 /**
- * Incremental rebalance: the few slot changes that lower the slowest rank
- * most, each judged after splitting the tokens anew.
+ * Searches for the few slot changes that lower the skew most. The tokens of the
+ * experts concerned are split anew before each change is evaluated.
  */
 
 import type {ExpertMap} from '../core/mapMessages';
 import type {Popularity, SlotChange} from './placement';
-import type {LevelGroups, Splitting} from './placementSplit';
-import {FULL_SWEEPS, SplitState, waterLevel} from './placementSplit';
+import type {SharingGroups, Splitting} from './placementSplit';
+import {MAX_SWEEPS, SplitState, waterLevel} from './placementSplit';
 
 /** Limits of one plan. */
 export interface RebalanceLimits {
-  /** Most loads from the weight store, over all ranks. */
+  /** Maximum number of weight loads from the store, over all ranks. */
   readonly maxLoads: number;
-  /** Most loads of a replacement with the moves that follow from it. */
+  /** Maximum number of weight loads of a compound move. */
   readonly maxCompoundLoads: number;
-  /** Most loads on one rank: its room for staging. */
+  /** Maximum number of weight loads on one rank: its memory for staged weights. */
   readonly maxLoadsPerRank: number;
-  /** Least fall of the skew for each load. */
+  /** Minimum decrease of the skew per weight load. */
   readonly minGainPerLoad: number;
 }
 
 /**
- * Changes that only make sense together: a replacement (one load), a swap (two)
- * or a replacement with what follows from it.
+ * Slot changes that only pay off together: a replacement (one weight load), a
+ * swap (two) or a compound move, which is a replacement with follow-up moves.
  */
 export type Move = readonly SlotChange[];
 
-/** A plan and the skews expected under the popularity that it was made for. */
+/** A plan with the skews expected under the popularity that it was made for. */
 export interface RebalancePlan {
-  /** In the order in which they are to be made. */
+  /** In the order in which they must be applied. */
   readonly moves: readonly Move[];
-  /** With the map as it is, split included. */
-  readonly skewNow: number;
-  /** With the same slots and the best split. */
-  readonly skewSplit: number;
+  /** With the current slots and shares. */
+  readonly skewBefore: number;
+  /** With the current slots and the best split. */
+  readonly skewBestSplit: number;
   readonly skewAfter: number;
 }
 
-/** Moves whose effect is worked out in full, of those that look best. */
-const CANDIDATES = 16;
-const COMPOUND_CANDIDATES = 8;
-/** Skew above which compound moves are looked for; they take longer to find. */
-const COMPOUND_FROM = 1.03;
+/** Number of moves with the best estimates that are evaluated exactly. */
+const MAX_EVALUATED_MOVES = 16;
+const MAX_EVALUATED_COMPOUNDS = 8;
+/** Skew above which compound moves are searched; that search takes longer. */
+const MIN_COMPOUND_SKEW = 1.03;
+/** Sweeps for a split that is only evaluated. */
 const TRIAL_SWEEPS = 8;
-/** Hottest ranks from which load may be taken, without and with their groups. */
+/** Number of most loaded ranks from which moves take load. */
 const HOT_RANKS = 2;
-const MAX_HOT_RANKS = 12;
+/** The same, including the ranks that share load with them. */
+const MAX_HOT_RANKS_IN_GROUPS = 12;
 
 interface Candidate {
   readonly move: Move;
-  /** Estimated excess of the ranks concerned; lower is better. */
+  /** Estimated change of the imbalance; lower is better. */
   readonly score: number;
 }
 
-/** Looks for the best split and the best few slot changes. */
+/** Searches for the best split and the best few slot changes. */
 export function planRebalance(
   current: ExpertMap,
   popularity: Popularity,
@@ -61,24 +63,29 @@
   splitting: Splitting = 'weighted'
 ): RebalancePlan {
   const start = SplitState.of(current, popularity, splitting);
-  const skewNow = start.softSkew();
-  start.relax(FULL_SWEEPS);
-  const skewSplit = start.softSkew();
-  const none = current.slots.map(() => 0);
-  let found: Trial = {state: start, moves: [], changes: [], loadsByRank: none};
+  const skewBefore = start.softSkew();
+  start.relax(MAX_SWEEPS);
+  const skewBestSplit = start.softSkew();
+  const noWeightLoads = current.slots.map(() => 0);
+  let found: Trial = {
+    state: start,
+    moves: [],
+    changes: [],
+    weightLoadsByRank: noWeightLoads,
+  };
   while (found.changes.length < limits.maxLoads) {
     const next = bestMove(found, limits.maxLoads, limits);
     if (next === undefined) break;
     found = next;
   }
-  if (found.changes.length === 0 && start.skew() > COMPOUND_FROM)
-    found = asOneMove(bestCompound(found, limits)) ?? found;
-  found.state.relax(FULL_SWEEPS);
+  if (found.changes.length === 0 && start.skew() > MIN_COMPOUND_SKEW)
+    found = mergeMoves(bestCompound(found, limits)) ?? found;
+  found.state.relax(MAX_SWEEPS);
   const skewAfter = found.state.softSkew();
-  return {moves: found.moves, skewNow, skewSplit, skewAfter};
+  return {moves: found.moves, skewBefore, skewBestSplit, skewAfter};
 }
 
-/** The map with slots changed, and the best split for a popularity. */
+/** The map with changed slots and the best split for a given popularity. */
 export function withChanges(
   map: ExpertMap,
   changes: readonly SlotChange[],
@@ -87,55 +94,56 @@
 ): ExpertMap {
   const state = SplitState.of(map, popularity, splitting);
   changes.forEach(change => state.change(change));
-  state.relax(FULL_SWEEPS);
+  state.relax(MAX_SWEEPS);
   return state.toMap();
 }
 
-/** A state in the search, and how it was reached. */
+/** A state of the search and the moves that lead to it. */
 interface Trial {
   readonly state: SplitState;
   readonly moves: readonly Move[];
-  /** All changes of the moves. */
+  /** Slot changes of all moves. */
   readonly changes: readonly SlotChange[];
-  readonly loadsByRank: readonly number[];
+  readonly weightLoadsByRank: readonly number[];
 }
 
-function after(trial: Trial, move: Move): Trial {
+function withMove(trial: Trial, move: Move): Trial {
   const state = trial.state.clone();
   move.forEach(change => state.change(change));
   state.relax(TRIAL_SWEEPS);
-  const loadsByRank = [...trial.loadsByRank];
-  for (const {rank} of move) loadsByRank[rank] = (loadsByRank[rank] ?? 0) + 1;
+  const weightLoadsByRank = [...trial.weightLoadsByRank];
+  for (const {rank} of move)
+    weightLoadsByRank[rank] = (weightLoadsByRank[rank] ?? 0) + 1;
   const moves = [...trial.moves, move];
   const changes = [...trial.changes, ...move];
-  return {state, moves, changes, loadsByRank};
+  return {state, moves, changes, weightLoadsByRank};
 }
 
-function asOneMove(trial: Trial | undefined): Trial | undefined {
+function mergeMoves(trial: Trial | undefined): Trial | undefined {
   return trial && {...trial, moves: [trial.changes]};
 }
 
-/** Fall of the expected skew from one trial to a later one, for each load. */
+/** Decrease of the expected skew per weight load, from one trial to another. */
 function gainPerLoad(from: Trial, to: Trial): number {
   const loads = to.changes.length - from.changes.length;
   return (from.state.softSkew() - to.state.softSkew()) / loads;
 }
 
-/** The later trial with the largest gain for each load, if it is enough. */
-function bestOf(
+/** Trial with the highest gain per weight load, if it exceeds the minimum. */
+function bestTrial(
   from: Trial,
   trials: readonly Trial[],
   limits: RebalanceLimits
 ): Trial | undefined {
-  let found: Trial | undefined;
-  let most = limits.minGainPerLoad;
+  let best: Trial | undefined;
+  let highestGain = limits.minGainPerLoad;
   for (const trial of trials) {
     const gain = gainPerLoad(from, trial);
-    if (gain <= most) continue;
-    most = gain;
-    found = trial;
+    if (gain <= highestGain) continue;
+    highestGain = gain;
+    best = trial;
   }
-  return found;
+  return best;
 }
 
 /** The best single replacement or swap. */
@@ -144,34 +152,37 @@
   maxLoads: number,
   limits: RebalanceLimits
 ): Trial | undefined {
-  const open = from.loadsByRank.map(n => n < limits.maxLoadsPerRank);
-  const {replacements, swaps} = candidates(from.state, open);
-  const moves = [...best(replacements, CANDIDATES), ...best(swaps, CANDIDATES)];
+  const canLoad = from.weightLoadsByRank.map(n => n < limits.maxLoadsPerRank);
+  const {replacements, swaps} = candidates(from.state, canLoad);
+  const moves = [
+    ...lowestScored(replacements, MAX_EVALUATED_MOVES),
+    ...lowestScored(swaps, MAX_EVALUATED_MOVES),
+  ];
   const fitting = moves.filter(
     ({move}) => from.changes.length + move.length <= maxLoads
   );
-  return bestOf(
+  return bestTrial(
     from,
-    fitting.map(({move}) => after(from, move)),
+    fitting.map(({move}) => withMove(from, move)),
     limits
   );
 }
 
 /**
- * A replacement that makes things worse at first, with the moves that then
- * put the ranks right which lost a replica. Without it the search ends where
- * every spare replica is in use but another expert needs one more.
+ * A replacement that may raise the skew by itself, with follow-up moves that
+ * unload the ranks affected by the lost replica. Without compound moves the
+ * search ends when all spare replicas are in use but another expert needs one.
  */
 function bestCompound(from: Trial, limits: RebalanceLimits): Trial | undefined {
-  const open = from.loadsByRank.map(() => true);
-  const hottest = indexOfMost(from.state.loads);
-  const largest = largestOn(from.state, hottest);
-  const firsts = replacementsFor(from.state, hottest, open).filter(
+  const canLoad = from.weightLoadsByRank.map(() => true);
+  const hottest = hottestRank(from.state.loads);
+  const largest = mostPopularOn(from.state, hottest);
+  const firsts = replacementsFor(from.state, hottest, canLoad).filter(
     ({move}) => move[0]?.expert === largest
   );
   const trials: Trial[] = [];
-  for (const {move} of best(firsts, COMPOUND_CANDIDATES)) {
-    let trial = after(from, move);
+  for (const {move} of lowestScored(firsts, MAX_EVALUATED_COMPOUNDS)) {
+    let trial = withMove(from, move);
     while (trial.changes.length < limits.maxCompoundLoads) {
       const next = bestMove(trial, limits.maxCompoundLoads, limits);
       if (next === undefined) break;
@@ -179,34 +190,34 @@
       trial = next;
     }
   }
-  return bestOf(from, trials, limits);
+  return bestTrial(from, trials, limits);
 }
 
-function indexOfMost(loads: readonly number[]): number {
+function hottestRank(loads: readonly number[]): number {
   return loads.indexOf(Math.max(...loads));
 }
 
-function largestOn(state: SplitState, rank: number): number {
+function mostPopularOn(state: SplitState, rank: number): number {
   const load = (expert: number) => state.popularity[expert] ?? 0;
   return state.slotsOf(rank).reduce((a, b) => (load(b) > load(a) ? b : a));
 }
 
 function candidates(
   state: SplitState,
-  open: readonly boolean[]
+  canLoad: readonly boolean[]
 ): {readonly replacements: Candidate[]; readonly swaps: Candidate[]} {
-  const groups = state.levelGroups();
+  const groups = state.sharingGroups();
   const replacements: Candidate[] = [];
   const swaps: Candidate[] = [];
   for (const rank of hotRanks(state, groups)) {
-    replacements.push(...replacementsFor(state, rank, open));
-    if (open[rank]) swaps.push(...swapsFor(state, rank, open, groups));
+    replacements.push(...replacementsFor(state, rank, canLoad));
+    if (canLoad[rank]) swaps.push(...swapsFor(state, rank, canLoad, groups));
   }
   return {replacements, swaps};
 }
 
-/** The hottest ranks and those that share their load. */
-function hotRanks(state: SplitState, groups: LevelGroups): readonly number[] {
+/** The most loaded ranks and those that share load with them. */
+function hotRanks(state: SplitState, groups: SharingGroups): readonly number[] {
   const order = state.loads
     .map((load, rank) => ({load, rank}))
     .sort((a, b) => b.load - a.load);
@@ -214,28 +225,28 @@
   const hotGroups = new Set(hottest.map(rank => groups.groupOf[rank]));
   return order
     .filter(({rank}) => hotGroups.has(groups.groupOf[rank]))
-    .slice(0, MAX_HOT_RANKS)
+    .slice(0, MAX_HOT_RANKS_IN_GROUPS)
     .map(({rank}) => rank);
 }
 
-function best(list: Candidate[], count: number): readonly Candidate[] {
+function lowestScored(list: Candidate[], count: number): readonly Candidate[] {
   return list.sort((a, b) => a.score - b.score).slice(0, count);
 }
 
-/** A further replica of a hot rank's expert, in place of a spare replica. */
+/** Replacements of a spare replica by a further replica of a hot rank's expert. */
 function replacementsFor(
   state: SplitState,
   hot: number,
-  open: readonly boolean[]
+  canLoad: readonly boolean[]
 ): readonly Candidate[] {
   const found: Candidate[] = [];
   const wanted = state.slotsOf(hot);
   state.loads.forEach((_, rank) => {
-    if (!open[rank]) return;
-    state.slotsOf(rank).forEach((old, slot) => {
-      if (state.replicasOf(old).length < 2) return;
+    if (!canLoad[rank]) return;
+    state.slotsOf(rank).forEach((replaced, slot) => {
+      if (state.replicasOf(replaced).length < 2) return;
       for (const expert of wanted) {
-        if (expert === old || state.holds(rank, expert)) continue;
+        if (expert === replaced || state.holds(rank, expert)) continue;
         const score = scoreReplacement(state, {rank, slot, expert});
         found.push({move: [{rank, slot, expert}], score});
       }
@@ -244,10 +255,13 @@
   return found;
 }
 
-/** Excess over the ranks that hold either expert, after filling both. */
+/**
+ * Change of the excess load of the ranks that hold either expert, after both are
+ * split anew.
+ */
 function scoreReplacement(state: SplitState, change: SlotChange): number {
   const {rank, slot, expert} = change;
-  const old = state.expertAt(rank, slot);
+  const replaced = state.expertAt(rank, slot);
   const loads = new Map<number, number>();
   const load = (r: number) => loads.get(r) ?? state.loads[r] ?? 0;
   let before = 0;
@@ -260,8 +274,8 @@
   };
   const ranksOf = (of: number) => state.replicasOf(of).map(r => r.rank);
   fill(
-    old,
-    ranksOf(old).filter(r => r !== rank)
+    replaced,
+    ranksOf(replaced).filter(r => r !== rank)
   );
   fill(expert, [...ranksOf(expert), rank]);
   let after = 0;
@@ -272,36 +286,41 @@
   return after - before;
 }
 
-/** Exchanges of an expert of a hot rank with a smaller one elsewhere. */
+/** Swaps of an expert of a hot rank with a less popular one of another rank. */
 function swapsFor(
   state: SplitState,
   hot: number,
-  open: readonly boolean[],
-  groups: LevelGroups
+  canLoad: readonly boolean[],
+  groups: SharingGroups
 ): readonly Candidate[] {
   const found: Candidate[] = [];
   const hotLoad = state.loads[hot] ?? 0;
   const hotSize = sizeOfGroup(groups, hot);
   state.loads.forEach((load, rank) => {
-    const apart = groups.groupOf[rank] !== groups.groupOf[hot];
-    if (!apart || !open[rank] || load >= hotLoad) return;
+    const isOtherGroup = groups.groupOf[rank] !== groups.groupOf[hot];
+    if (!isOtherGroup || !canLoad[rank] || load >= hotLoad) return;
     const size = sizeOfGroup(groups, rank);
-    state.slotsOf(hot).forEach((mine, slot) =>
-      state.slotsOf(rank).forEach((theirs, theirSlot) => {
-        // How far replicas shift their load after a swap is not known here.
-        if (!isSingle(state, mine) || !isSingle(state, theirs)) return;
-        const by =
-          (state.popularity[mine] ?? 0) - (state.popularity[theirs] ?? 0);
-        if (by <= 0) return;
-        // The change spreads over all ranks that share load with either one.
+    state.slotsOf(hot).forEach((hotExpert, slot) =>
+      state.slotsOf(rank).forEach((otherExpert, otherSlot) => {
+        // With replicas, the estimate would need the split after the swap.
+        if (
+          !hasOneReplica(state, hotExpert) ||
+          !hasOneReplica(state, otherExpert)
+        )
+          return;
+        const transferred =
+          (state.popularity[hotExpert] ?? 0) -
+          (state.popularity[otherExpert] ?? 0);
+        if (transferred <= 0) return;
+        // The change is distributed over all ranks that share load with either one.
         const score =
-          hotSize * imbalance(hotLoad - by / hotSize) +
-          size * imbalance(load + by / size) -
+          hotSize * imbalance(hotLoad - transferred / hotSize) +
+          size * imbalance(load + transferred / size) -
           hotSize * imbalance(hotLoad) -
           size * imbalance(load);
         const move = [
-          {rank: hot, slot, expert: theirs},
-          {rank, slot: theirSlot, expert: mine},
+          {rank: hot, slot, expert: otherExpert},
+          {rank, slot: otherSlot, expert: hotExpert},
         ];
         found.push({move, score});
       })
@@ -310,11 +329,11 @@
   return found;
 }
 
-function sizeOfGroup(groups: LevelGroups, rank: number): number {
+function sizeOfGroup(groups: SharingGroups, rank: number): number {
   return groups.sizes[groups.groupOf[rank] ?? rank] ?? 1;
 }
 
-function isSingle(state: SplitState, expert: number): boolean {
+function hasOneReplica(state: SplitState, expert: number): boolean {
   return state.replicasOf(expert).length === 1;
 }
 
--- a/src/policy/rebalanceDecision.ts
+++ b/src/policy/rebalanceDecision.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a new map pays: what it saves until the next one against what the
- * switch and the loading of weights cost. Changes of the split alone move no
- * bytes and have a threshold of their own.
+ * Decides whether a new map is worth its cost: the pass time it saves until the
+ * next map, against the pass time lost by the switch and by loading weights. A
+ * new split alone loads no weights and has its own threshold.
  */
 
 import type {ExpertMap} from '../core/mapMessages';
@@ -17,26 +17,29 @@
   readonly splitting: Splitting;
   /** Bytes of one expert of one layer. */
   readonly expertBytes: number;
-  /** Bytes a second that the weight store grants the group. */
+  /** Bandwidth of the weight store for this group, bytes per second. */
   readonly storeBytesPerSecond: number;
   readonly maxLoadsPerRank: number;
-  /** Most loads of one plan, so that popularity has not drifted meanwhile. */
+  /**
+   * Maximum number of weight loads of one plan. Few, because popularity drifts
+   * while they are in progress.
+   */
   readonly maxLoads: number;
-  /** The same where one change needs others to follow. */
+  /** The same for a plan that consists of one compound move. */
   readonly maxCompoundLoads: number;
-  /** Step time lost by the group while one expert loads, 0 to 1. */
+  /** Ratio of pass time that the group loses while one expert loads, 0 to 1. */
   readonly loadSlowdown: number;
-  /** Step time lost by one switch of maps, milliseconds. */
+  /** Pass time lost by one map switch, milliseconds. */
   readonly switchPauseMs: number;
-  /** Time from a decision to the switch: two rounds, the log, some steps. */
+  /** Time from a decision to the switch: two message rounds, the log, some passes. */
   readonly switchLeadMs: number;
-  /** Time over which the gain of a change of slots is expected. */
+  /** Period over which new slots are expected to pay off. */
   readonly slotsHorizonMs: number;
-  /** Time over which the gain of a change of the split is expected. */
+  /** Period over which a new split is expected to pay off. */
   readonly splitHorizonMs: number;
-  /** Least fall of the skew that starts a change of slots. */
+  /** Minimum decrease of the skew for new slots. */
   readonly minSlotsGain: number;
-  /** Least fall of the skew that starts a change of the split alone. */
+  /** Minimum decrease of the skew for a new split alone. */
   readonly minSplitGain: number;
 }
 
@@ -57,19 +60,19 @@
   minSplitGain: 0.005,
 };
 
-/** Time to load so many experts one after the other from the store. */
+/** Time to load a number of experts one after the other from the store. */
 export function loadTimeMs(cfg: RebalanceConfig, loads: number): number {
   return (loads * cfg.expertBytes * 1000) / cfg.storeBytesPerSecond;
 }
 
-/** Step time lost by loading and switching, milliseconds. */
+/** Pass time lost by weight loads and one switch, milliseconds. */
 export function planCostMs(cfg: RebalanceConfig, loads: number): number {
   return cfg.switchPauseMs + loadTimeMs(cfg, loads) * cfg.loadSlowdown;
 }
 
 /**
- * Other shares on the same slots, when they pay; no bytes move. `popularity`
- * is the one expected when the map would be in force.
+ * The current slots with new shares if these are worth a switch; no weights are
+ * loaded. `popularity` is the forecast for the time when the map becomes active.
  */
 export function decideSplit(
   cfg: RebalanceConfig,
@@ -84,8 +87,9 @@
 }
 
 /**
- * Moves to make next, when they pay: beside the map in force, to be switched
- * to once they are there. `expected` is the map with all earlier loads done.
+ * Next moves if these are worth their cost. Their weights are loaded beside the
+ * active map, which is switched once they are present. `expected` is the map
+ * after all earlier loads.
  */
 export function decideLoads(
   cfg: RebalanceConfig,
@@ -99,16 +103,16 @@
     minGainPerLoad: minGainPerLoad(cfg),
   };
   const plan = planRebalance(expected, popularity, limits, cfg.splitting);
-  const gain = plan.skewSplit - plan.skewAfter;
-  // The threshold stands above the noise of the estimate: without it, slots
-  // would follow the noise to and fro and never earn back the bytes moved.
+  const gain = plan.skewBestSplit - plan.skewAfter;
+  // The threshold exceeds the noise of the estimate. Otherwise experts would be
+  // moved back and forth by noise without ever paying off their loads.
   if (gain < cfg.minSlotsGain) return [];
   const savedMs = gain * cfg.slotsHorizonMs;
   const loads = plan.moves.flat().length;
   return savedMs > planCostMs(cfg, loads) ? plan.moves : [];
 }
 
-/** A load must earn its own cost within the horizon. */
+/** Gain at which a single load pays off within the horizon. */
 function minGainPerLoad(cfg: RebalanceConfig): number {
   return (loadTimeMs(cfg, 1) * cfg.loadSlowdown) / cfg.slotsHorizonMs;
 }
--- a/src/policy/rebalancePlanner.ts
+++ b/src/policy/rebalancePlanner.ts
@@ -1,7 +1,7 @@
 /**
- * Plans for one group of ranks: takes reports of popularity, says which weights
- * to load beside the map in force and which map to switch to. The bench and
- * the controller both run this.
+ * Plans the rebalancing of one group of ranks. From popularity samples it
+ * decides which weights to load beside the active map and which map to switch
+ * to. The controller and the bench both use it.
  */
 
 import type {ExpertMap} from '../core/mapMessages';
@@ -13,26 +13,28 @@
 import type {RebalanceConfig} from './rebalanceDecision';
 import {decideLoads, decideSplit, loadTimeMs} from './rebalanceDecision';
 
-/** What to do now; both may be absent. */
-export interface RebalanceStep {
-  /** Weights to load; `loaded` is to be called for each. */
+/** Actions to take now; both may be absent. */
+export interface RebalanceActions {
+  /** Weights to load; the caller reports each by `loaded` or `failed`. */
   readonly stage?: readonly SlotChange[];
-  /** Map to switch to now. */
+  /** Map to switch to. */
   readonly switchTo?: ExpertMap;
 }
 
-interface Staging {
+/** A move whose weights are being loaded, or wait for the switch. */
+interface StagedMove {
   readonly changes: readonly SlotChange[];
+  /** Changes whose weights are not loaded yet. */
   readonly missing: readonly SlotChange[];
-  readonly giveUpMs: number;
+  readonly deadlineMs: number;
 }
 
-/** Loads that take this many times as long as expected are given up. */
-const GIVE_UP_FACTOR = 10;
+/** Loads are abandoned after this multiple of their expected duration. */
+const LOAD_TIMEOUT_FACTOR = 10;
 
-/** Keeps what is being loaded and what is known of popularity. */
+/** Tracks weight loads in progress and the popularity estimate. */
 export class RebalancePlanner {
-  private staging: readonly Staging[] = [];
+  private staging: readonly StagedMove[] = [];
 
   constructor(
     private readonly cfg: RebalanceConfig,
@@ -46,7 +48,7 @@
     this.estimate.add(sample);
   }
 
-  /** A rank has the weights of a slot change. */
+  /** Reports that a rank loaded the weights of a slot change. */
   loaded(change: SlotChange): void {
     this.staging = this.staging.map(item => ({
       ...item,
@@ -54,28 +56,29 @@
     }));
   }
 
-  /** The load failed: the change is dropped, with those that belong to it. */
+  /** Reports a failed load: drops the change and the rest of its move. */
   failed(change: SlotChange): void {
     this.staging = this.staging.filter(
       item => !item.missing.some(other => sameChange(other, change))
     );
   }
 
-  /** A rank has restarted: loads for it are lost, with those that need them. */
+  /** Reports that a rank restarted: drops all moves with loads on that rank. */
   restarted(rank: number): void {
     this.staging = this.staging.filter(
       item => !item.changes.some(change => change.rank === rank)
     );
   }
 
-  /** Forgets loads under way; another map has come into force meanwhile. */
+  /** Drops all staged moves; another map may have become active. */
   reset(): void {
     this.staging = [];
   }
 
   /**
-   * `pending` is the map of a switch under way; `minGain` is the least fall of
-   * the skew that operators want a load for, 0 to leave it to the defaults.
+   * Returns the actions to take now. `pending` is the map of a switch in
+   * progress. `minGain` is the minimum decrease of the skew for which operators
+   * accept loads; 0 applies the default.
    */
   next(
     current: ExpertMap,
@@ -84,23 +87,24 @@
     minGain = 0
   ) {
     if (!this.estimate.known) return {};
-    this.staging = this.staging.filter(item => nowMs < item.giveUpMs);
+    this.staging = this.staging.filter(item => nowMs < item.deadlineMs);
     const switchTo = pending ? undefined : this.switchTo(current, nowMs);
     const base = switchTo ?? pending ?? current;
     const stage = this.stage(base, nowMs, minGain);
-    return {switchTo, stage} satisfies RebalanceStep;
+    return {switchTo, stage} satisfies RebalanceActions;
   }
 
   private switchTo(current: ExpertMap, nowMs: number): ExpertMap | undefined {
-    const inForceMs = nowMs + this.cfg.switchLeadMs;
-    const popularity = this.estimate.predict(inForceMs);
+    const activeAtMs = nowMs + this.cfg.switchLeadMs;
+    const popularity = this.estimate.predict(activeAtMs);
     const ready = this.staging.filter(item => item.missing.length === 0);
     if (ready.length === 0) return decideSplit(this.cfg, current, popularity);
     const changes = ready.flatMap(item => item.changes);
     const next = withChanges(current, changes, popularity, this.cfg.splitting);
     const missing = this.staging.filter(item => item.missing.length > 0);
-    // A replica that a later move of the batch makes up for would be missed
-    // for a whole load: one such second in force had a skew of 1.16 after 1.09.
+    // A move may remove a replica that a later move of the batch compensates for.
+    // Switching in between would leave the group without it for the duration of
+    // a load: one such second had a skew of 1.16 after 1.09.
     const worse = mapSkew(next, popularity) > mapSkew(current, popularity);
     if (worse && missing.length > 0)
       return decideSplit(this.cfg, current, popularity);
@@ -108,7 +112,7 @@
     return next;
   }
 
-  /** One batch at a time: the weight store delivers one after the other. */
+  /** Starts one batch at a time: the store delivers one expert after the other. */
   private stage(
     base: ExpertMap,
     nowMs: number,
@@ -117,17 +121,22 @@
     if (this.staging.some(item => item.missing.length > 0)) return undefined;
     const {cfg} = this;
     const loadMs = loadTimeMs(cfg, cfg.maxLoads);
-    const inForceMs = nowMs + loadMs + cfg.switchLeadMs;
-    const popularity = this.estimate.predict(inForceMs);
+    const activeAtMs = nowMs + loadMs + cfg.switchLeadMs;
+    const popularity = this.estimate.predict(activeAtMs);
     const earlier = this.staging.flatMap(item => item.changes);
     const expected = withChanges(base, earlier, popularity, cfg.splitting);
     const minSlotsGain = Math.max(cfg.minSlotsGain, minGain);
     const moves = decideLoads({...cfg, minSlotsGain}, expected, popularity);
     if (moves.length === 0) return undefined;
     const loads = moves.flat();
-    const giveUpMs = nowMs + GIVE_UP_FACTOR * loadTimeMs(cfg, loads.length);
-    // Each move is put in force as soon as its own weights are there.
-    const next = moves.map(changes => ({changes, missing: changes, giveUpMs}));
+    const deadlineMs =
+      nowMs + LOAD_TIMEOUT_FACTOR * loadTimeMs(cfg, loads.length);
+    // Each move is applied as soon as its own weights are loaded.
+    const next = moves.map(changes => ({
+      changes,
+      missing: changes,
+      deadlineMs,
+    }));
     this.staging = [...this.staging, ...next];
     return loads;
   }
--- a/tests/placement.spec.ts
+++ b/tests/placement.spec.ts
@@ -38,31 +38,36 @@
   minGainPerLoad: 0.0005,
 };
 
-/** What every map must be: full, complete, no expert twice, shares of 1. */
-function faultsOf(map: ExpertMap): string[] {
-  const faults: string[] = [];
+/**
+ * Violations of the rules for maps: all slots filled, no expert twice on a rank,
+ * and the shares of each expert add up to 1.
+ */
+function violationsOf(map: ExpertMap): string[] {
+  const violations: string[] = [];
   const shares = new Array<number>(EXPERTS).fill(0);
   map.slots.forEach((slots, rank) => {
-    if (slots.length !== SHAPE.slotsByRank[rank]) faults.push(`size ${rank}`);
-    if (new Set(slots).size !== slots.length) faults.push(`twice ${rank}`);
+    if (slots.length !== SHAPE.slotsByRank[rank])
+      violations.push(`size ${rank}`);
+    if (new Set(slots).size !== slots.length) violations.push(`twice ${rank}`);
     slots.forEach((expert, slot) => {
       shares[expert] = (shares[expert] ?? 0) + (map.shares[rank]?.[slot] ?? 0);
     });
   });
   shares.forEach((share, expert) => {
-    if (Math.abs(share - 1) > 1e-6) faults.push(`share ${expert}: ${share}`);
+    if (Math.abs(share - 1) > 1e-6)
+      violations.push(`share ${expert}: ${share}`);
   });
-  return faults;
+  return violations;
 }
 
 describe('expert placement', () => {
-  it('should spread slots evenly', () => {
+  it('should distribute slots evenly', () => {
     const {slotsByRank} = evenShape(64, 256, 32);
     expect(slotsByRank.reduce((a, b) => a + b)).toBe(288);
     expect(new Set(slotsByRank)).toEqual(new Set([4, 5]));
   });
 
-  it('should always give a whole map, and never beat the lower bound', () => {
+  it('should always return a valid map and never beat the lower bound', () => {
     fc.assert(
       fc.property(POPULARITY, POPULARITY, (before, now) => {
         const first = placeFromScratch(SHAPE, before);
@@ -74,7 +79,7 @@
           withBestShares(first, now),
           withChanges(first, changes, now),
         ];
-        maps.forEach(map => expect(faultsOf(map)).toEqual([]));
+        maps.forEach(map => expect(violationsOf(map)).toEqual([]));
         const bound = skewLowerBound(SHAPE, now);
         maps.forEach(map =>
           expect(mapSkew(map, now)).toBeGreaterThanOrEqual(bound - 1e-6)
@@ -84,14 +89,14 @@
     );
   });
 
-  it('should never split worse than evenly, nor plan worse than it stands', () => {
+  it('should never be worse than an even split or than the current map', () => {
     fc.assert(
       fc.property(POPULARITY, POPULARITY, (before, now) => {
         const even = placeFromScratch(SHAPE, before);
         const split = mapSkew(withBestShares(even, now), now);
         expect(split).toBeLessThanOrEqual(mapSkew(even, now) + 1e-6);
         const plan = planRebalance(even, now, LIMITS);
-        expect(plan.skewAfter).toBeLessThanOrEqual(plan.skewSplit + 1e-6);
+        expect(plan.skewAfter).toBeLessThanOrEqual(plan.skewBestSplit + 1e-6);
         const changes = plan.moves.flat();
         const loads = loadsNeeded(even, withChanges(even, changes, now));
         expect(Math.max(...loads)).toBeLessThanOrEqual(LIMITS.maxLoadsPerRank);
@@ -112,7 +117,7 @@
     });
   });
 
-  it('should level two ranks through the expert that they share', () => {
+  it('should level two ranks through an expert that both hold', () => {
     const even = {
       slots: [
         [0, 1],
@@ -129,18 +134,18 @@
     loads.forEach(load => expect(load).toBeCloseTo(8));
   });
 
-  it('should need no load for a mere renumbering of ranks', () => {
+  it('should need no weight loads if ranks are only renumbered', () => {
     const map = placeFromScratch(SHAPE, ZIPF);
     const size = (rank: number) => SHAPE.slotsByRank[rank];
     const order = map.slots.map((_, rank) => {
       const swapped = rank ^ 1;
       return size(swapped) === size(rank) ? swapped : rank;
     });
-    const turned = {
+    const renumbered = {
       slots: order.map(rank => map.slots[rank] ?? []),
       shares: order.map(rank => map.shares[rank] ?? []),
     };
-    const back = relabelToFewestLoads(map, turned);
+    const back = relabelToFewestLoads(map, renumbered);
     expect(loadsNeeded(map, back).every(loads => loads === 0)).toBe(true);
   });
 });
@@ -149,40 +154,40 @@
   const cfg = REBALANCE_DEFAULTS;
   const stale = withBestShares(placeFromScratch(SHAPE, OTHER_ZIPF), ZIPF);
 
-  it('should load where popularity has moved', () => {
+  it('should load weights after popularity has changed', () => {
     expect(decideLoads(cfg, stale, ZIPF).length).toBeGreaterThan(0);
   });
 
   it.each([
     [
-      'loads would slow the group more than they gain',
+      'loads slow the group down more than they gain',
       {loadSlowdown: 0.9, expertBytes: 5e9},
     ],
     ['the gain is below the threshold', {minSlotsGain: 5}],
-    ['the next change is expected at once', {slotsHorizonMs: 1}],
+    ['the next change is expected immediately', {slotsHorizonMs: 1}],
     ['the switch costs more than it gains', {switchPauseMs: 1e9}],
   ])('should load nothing when %s', (_, change) => {
     expect(decideLoads({...cfg, ...change}, stale, ZIPF)).toEqual([]);
   });
 
-  it('should not switch for a gain of the split below the threshold', () => {
+  it('should not switch if the gain of a new split is below the threshold', () => {
     const even = placeFromScratch(SHAPE, ZIPF);
     const gain =
       mapSkew(even, ZIPF) - mapSkew(withBestShares(even, ZIPF), ZIPF);
     expect(gain).toBeGreaterThan(0);
-    const lax = {...cfg, splitHorizonMs: 1e9};
-    const at = (minSplitGain: number) =>
-      decideSplit({...lax, minSplitGain}, even, ZIPF);
-    expect(at(gain * 1.01)).toBeUndefined();
-    expect(at(gain * 0.99)).toBeDefined();
+    const longHorizon = {...cfg, splitHorizonMs: 1e9};
+    const decideAt = (minSplitGain: number) =>
+      decideSplit({...longHorizon, minSplitGain}, even, ZIPF);
+    expect(decideAt(gain * 1.01)).toBeUndefined();
+    expect(decideAt(gain * 0.99)).toBeDefined();
   });
 
-  // Popularity stands still but for the chance in the counts. A planner that
-  // followed that chance would move weights to and fro for ever.
-  it('should come to rest when popularity does', () => {
+  // Popularity is constant except for noise in the counts. A planner that follows
+  // the noise would move weights back and forth forever.
+  it('should stop changing the map once popularity is stable', () => {
     const planner = new RebalancePlanner(cfg, EXPERTS);
     let map = placeFromScratch(SHAPE, OTHER_ZIPF);
-    let late = 0;
+    let lateActions = 0;
     let loads = 0;
     for (let tick = 0; tick < 400; tick++) {
       const nowMs = tick * 500;
@@ -193,15 +198,15 @@
       const {stage, switchTo} = planner.next(map, undefined, nowMs);
       stage?.forEach(change => planner.loaded(change));
       loads += stage?.length ?? 0;
-      if (tick >= 200 && (stage || switchTo)) late++;
+      if (tick >= 200 && (stage || switchTo)) lateActions++;
       map = switchTo ?? map;
     }
     expect(loads).toBeGreaterThan(0);
-    expect(late).toBe(0);
+    expect(lateActions).toBe(0);
   });
 
-  // The weight store refuses or stalls halfway through a batch.
-  it('should plan anew after a load that failed or never came', () => {
+  // The weight store fails or stalls during a batch.
+  it('should plan again after a load that failed or never completed', () => {
     const planner = new RebalancePlanner(cfg, EXPERTS);
     planner.observe({atMs: 0, counts: ZIPF.map(p => p * 1e6)});
     const first = planner.next(stale, undefined, 100).stage ?? [];
@@ -213,10 +218,10 @@
     expect(planner.next(stale, undefined, 1e6).stage).toBeDefined();
   });
 
-  // A burst ends while the loads that answer it are under way. The first of
-  // them takes away a replica that is needed again; in force by itself it would
-  // slow every step of the group until the next load has come.
-  it('should not switch for the worse while other loads are on their way', () => {
+  // A burst ends while the loads planned for it are in progress. The first one
+  // removes a replica that is needed again. Applied alone, it would slow down
+  // every pass of the group until the next load completes.
+  it('should not switch to a worse map while other loads are in progress', () => {
     const planner = new RebalancePlanner(cfg, EXPERTS);
     const counts = (popularity: readonly number[]) =>
       popularity.map(p => p * 1e6);
@@ -226,8 +231,8 @@
     planner.observe({atMs: 10_000, counts: counts(OTHER_ZIPF)});
     const best = withBestShares(stale, OTHER_ZIPF);
     batch.slice(0, 1).forEach(change => planner.loaded(change));
-    const alone = withChanges(best, batch.slice(0, 1), OTHER_ZIPF);
-    expect(mapSkew(alone, OTHER_ZIPF)).toBeGreaterThan(
+    const afterFirst = withChanges(best, batch.slice(0, 1), OTHER_ZIPF);
+    expect(mapSkew(afterFirst, OTHER_ZIPF)).toBeGreaterThan(
       mapSkew(best, OTHER_ZIPF)
     );
     expect(planner.next(best, undefined, 10_100).switchTo).toBeUndefined();
