--- a/src/policy/mapOutlook.ts
+++ b/src/policy/mapOutlook.ts
@@ -1,20 +1,20 @@
-/** What the leader of expert maps knows that bears on the length of passes. */
+/** State of the expert map of a group that determines pass durations. */
 
-import {FIRST_SKEW} from './shiftHistory';
+import {INITIAL_SKEW} from './shiftHistory';
 
-/** State of the map of a group. */
+/** Skews, now and after demand shifts, as the leader knows them. */
 export interface MapOutlook {
-  /** Highest load of a rank over the mean under the map in force. */
+  /** Max over mean load of ranks under the active map. */
   readonly skew: number;
-  /** The same right after the shifts of demand that came lately; 0 when none. */
+  /** Highest skew right after a recent demand shift; 0 if there was none. */
   readonly shiftSkew: number;
-  /** That of the shift that may come now; 0 while none is due. */
+  /** Expected skew after the next demand shift; 0 while none is due. */
   readonly dueSkew: number;
-  /** Whether a switch holds passes up, or did a moment ago. */
+  /** Whether a map switch delays passes, or did a moment ago. */
   readonly isHeld: boolean;
 }
 
-/** Without experts, or before anything is known of them. */
+/** Outlook without experts, or before anything is known about their load. */
 export const EVEN_OUTLOOK: MapOutlook = {
   skew: 1,
   shiftSkew: 0,
@@ -22,10 +22,10 @@
   isHeld: false,
 };
 
-/** A group that nobody has ordered yet: it begins with the first map. */
+/** Outlook of a group whose map no leader has changed yet: the initial one. */
 export const FIRST_MAP_OUTLOOK: MapOutlook = {
-  skew: FIRST_SKEW,
-  shiftSkew: FIRST_SKEW,
-  dueSkew: FIRST_SKEW,
+  skew: INITIAL_SKEW,
+  shiftSkew: INITIAL_SKEW,
+  dueSkew: INITIAL_SKEW,
   isHeld: false,
 };
--- a/src/policy/relayPlan.ts
+++ b/src/policy/relayPlan.ts
@@ -1,58 +1,58 @@
 /**
  * Splits a fan-out to many ranks among the nodes near them.
  *
- * Pattern: the same large order to each of a hundred ranks at once. Sent by the
- * leader alone, its link and processor carry one copy for each rank, and the
- * time grows with the size of the group. Each relay gets one compressed copy and
- * passes it on to a few ranks, so that the time hardly grows with the ranks.
+ * The same large order goes to each of a hundred ranks at once. If the leader
+ * sends it alone, its link and CPU carry one copy per rank, and the time grows
+ * with the group size. Instead each relay gets one compressed copy and forwards
+ * it to a few ranks, so the time hardly depends on the number of ranks.
  */
 
-/** Groups up to this size are reached directly within a few milliseconds. */
+/** Groups up to this size are called directly, within a few milliseconds. */
 const MAX_DIRECT_RANKS = 16;
-/** Few enough that the relay's own link carries all copies in one round trip. */
+/** Small enough for the link of a relay to carry all copies in one round trip. */
 const RANKS_PER_RELAY = 6;
 
-/** A machine and where it stands. */
+/** Address of a node or rank, and its zone. */
 export interface Located {
   /** IP address of a node, or HOST:PORT of a rank. */
   readonly address: string;
   readonly availabilityZone: string;
 }
 
-/** One share of a fan-out. */
-export interface RelayShare<T> {
-  /** Address of the node that passes the calls on; absent for direct calls. */
+/** Ranks of a fan-out that are called by the same node. */
+export interface RelayBatch<T> {
+  /** Address of the node that forwards the calls; absent for direct calls. */
   readonly relay?: string;
   readonly ranks: readonly T[];
 }
 
 /**
- * Shares of a fan-out. Ranks are relayed within their zone where it has nodes;
- * `relays` come in order of preference.
+ * Assigns the ranks of a fan-out to relays. A rank is called by a relay of its
+ * zone if there is one. `relays` are in order of preference.
  */
 export function planRelays<T extends Located>(
   ranks: readonly T[],
   relays: readonly Located[]
-): readonly RelayShare<T>[] {
+): readonly RelayBatch<T>[] {
   if (ranks.length <= MAX_DIRECT_RANKS || relays.length === 0) return [{ranks}];
-  const shares = new Map<string, T[]>();
-  const strays: T[] = [];
+  const batches = new Map<string, T[]>();
+  const unmatched: T[] = [];
   for (const [zone, ofZone] of groupByZone(ranks)) {
-    const near = relays.filter(relay => relay.availabilityZone === zone);
-    if (near.length === 0) strays.push(...ofZone);
-    else deal(ofZone, near, shares);
+    const zoneRelays = relays.filter(relay => relay.availabilityZone === zone);
+    if (zoneRelays.length === 0) unmatched.push(...ofZone);
+    else distribute(ofZone, zoneRelays, batches);
   }
-  const sizeOf = ({address}: Located) => shares.get(address)?.length ?? 0;
-  const byLoad = [...relays].sort((a, b) => sizeOf(a) - sizeOf(b));
-  if (strays.length > 0) deal(strays, byLoad, shares);
-  return [...shares].map(([relay, ofRelay]) => ({relay, ranks: ofRelay}));
+  const sizeOf = ({address}: Located) => batches.get(address)?.length ?? 0;
+  const leastLoadedFirst = [...relays].sort((a, b) => sizeOf(a) - sizeOf(b));
+  if (unmatched.length > 0) distribute(unmatched, leastLoadedFirst, batches);
+  return [...batches].map(([relay, ofRelay]) => ({relay, ranks: ofRelay}));
 }
 
-/** Deals ranks out evenly among as many relays as are worth a copy each. */
-function deal<T>(
+/** Distributes ranks evenly over as few relays as `RANKS_PER_RELAY` permits. */
+function distribute<T>(
   ranks: readonly T[],
   relays: readonly Located[],
-  shares: Map<string, T[]>
+  batches: Map<string, T[]>
 ): void {
   const count = Math.min(
     relays.length,
@@ -61,9 +61,9 @@
   ranks.forEach((rank, i) => {
     const relay = relays[i % count];
     if (relay === undefined) return;
-    const share = shares.get(relay.address) ?? [];
-    share.push(rank);
-    shares.set(relay.address, share);
+    const batch = batches.get(relay.address) ?? [];
+    batch.push(rank);
+    batches.set(relay.address, batch);
   });
 }
 
--- a/src/policy/shiftHistory.ts
+++ b/src/policy/shiftHistory.ts
@@ -1,53 +1,61 @@
 /**
- * How uneven the next shift of demand will make the load of the ranks, and
- * whether one may come soon, from the last ones.
+ * Predicts from recent demand shifts how high the skew will be after the next
+ * one, and whether one may come soon.
  *
- * Pattern: shifts of about the same size, some seconds apart. Before one the group
- * must run no more requests than it can step in time right after it; right after
- * one a backlog has built up, and rejecting it protects nothing.
+ * Shifts have about the same size and come some seconds apart. Before a shift the
+ * group must run no more requests than its passes can serve in time right after
+ * it. Right after a shift a backlog has built up already, and rejecting it would
+ * protect nothing.
  */
 
-/** Shifts come within seconds of each other, or not at all. */
-const MEMORY_MS = 12_000;
-/** Requests that run when the next shift comes were let in this long before. */
-const LEAD_MS = 1_000;
-/** A shift below this part of the largest skew is no measure of the pause. */
+/** Shifts come within seconds of each other or not at all; older ones expire. */
+const HISTORY_MS = 12_000;
+/** Requests that run during the next shift were admitted this long before it. */
+const ADMISSION_LEAD_MS = 1_000;
+/** Shifts below this ratio of the highest skew do not count for intervals. */
 const MAIN_SHIFT_RATIO = 0.6;
 
 /**
- * Before any shift was seen: experts that were dealt out in turn, and a few of
- * them in demand. A group that forms anew has all its callers coming back, and
- * passes under its first map are as long as right after a shift.
+ * Skew assumed before any shift was observed: that of experts assigned round
+ * robin with a few of them in demand. When a group forms, all its callers come
+ * back at once, and passes under its first map are as long as right after a
+ * shift.
  */
-export const FIRST_SKEW = 3;
+export const INITIAL_SKEW = 3;
 
 interface Shift {
   readonly atMs: number;
   readonly skew: number;
 }
 
-/** Skews that shifts of demand brought lately. */
+/** Skews right after recent demand shifts. */
 export class ShiftHistory {
   private shifts: Shift[];
 
-  /** `known` is what an earlier leader told of shifts; 0 when nothing is known. */
-  constructor(known: number, nowMs: number) {
-    this.shifts = [{atMs: nowMs, skew: known > 0 ? known : FIRST_SKEW}];
+  /** `inheritedSkew` was reported by an earlier leader; 0 if unknown. */
+  constructor(inheritedSkew: number, nowMs: number) {
+    this.shifts = [
+      {atMs: nowMs, skew: inheritedSkew > 0 ? inheritedSkew : INITIAL_SKEW},
+    ];
   }
 
-  /** Notes the skew at which a shift found the map in force. */
+  /** Records the skew of the active map right after a shift. */
   note(skew: number, nowMs: number): void {
     this.shifts.push({atMs: nowMs, skew});
-    this.forget(nowMs);
+    this.dropExpired(nowMs);
   }
 
-  /** Highest skew of a recent shift; 0 when none came. */
+  /** Highest skew of a recent shift; 0 if there was none. */
   worst(nowMs: number): number {
-    this.forget(nowMs);
+    this.dropExpired(nowMs);
     return Math.max(0, ...this.shifts.map(({skew}) => skew));
   }
 
-  /** The same, or 0 while none came as soon after the one before. */
+  /**
+   * Skew of the shift that may come soon: the highest recent one. It is 0 until
+   * the shortest recent interval, minus the admission lead, has passed since the
+   * last shift.
+   */
   due(nowMs: number): number {
     const worst = this.worst(nowMs);
     const times = this.shifts
@@ -55,13 +63,14 @@
       .map(({atMs}) => atMs);
     const [first = nowMs, ...rest] = times;
     if (rest.length === 0) return worst;
-    const pauses = rest.map((atMs, i) => atMs - (times[i] ?? first));
+    const intervalsMs = rest.map((atMs, i) => atMs - (times[i] ?? first));
     const lastMs = rest[rest.length - 1] ?? first;
-    const isSoon = nowMs - lastMs >= Math.min(...pauses) - LEAD_MS;
-    return isSoon ? worst : 0;
+    const isDue =
+      nowMs - lastMs >= Math.min(...intervalsMs) - ADMISSION_LEAD_MS;
+    return isDue ? worst : 0;
   }
 
-  private forget(nowMs: number): void {
-    this.shifts = this.shifts.filter(({atMs}) => atMs >= nowMs - MEMORY_MS);
+  private dropExpired(nowMs: number): void {
+    this.shifts = this.shifts.filter(({atMs}) => atMs >= nowMs - HISTORY_MS);
   }
 }
