--- a/src/gateway/callTarget.ts
+++ b/src/gateway/callTarget.ts
@@ -1,47 +1,48 @@
 /**
- * One send to one target, on a connection of its own.
+ * Sends one request to one target on a new connection.
  *
- * A kept connection may be closed by the target as a request is written on it,
- * and then nobody knows whether it ran; a late second answer on it would pass
- * for the next request's. A new connection costs a millisecond and rules out
- * both. Bytes go out only once it stands, so that a send that never connected
- * has surely not run.
+ * Connections are not reused, for two reasons. A target may close an idle
+ * connection while a request is being written to it, and then it is unknown
+ * whether the request ran. A late duplicate response on a reused connection
+ * would be taken for the response to the next request. A new connection costs
+ * a millisecond. Nothing is written before it is established, so a request
+ * whose connection failed cannot have run.
  */
 
 import http from 'node:http';
 import type {CancelSignal} from '../core/cancellation';
 
 /**
- * A machine without power does not answer at all. Ten times the longest way
- * between zones, and short enough to try another in time.
+ * A machine without power never responds to a connection attempt. Ten times the
+ * highest latency between zones, and short enough to try another target in time.
  */
 const CONNECT_TIMEOUT_MS = 200;
 
-/** What to send. */
+/** A request to one target. */
 export interface TargetCall {
   /** HOST:PORT */
   readonly address: string;
   readonly method: string;
   readonly url: string;
-  /** Raw list. */
+  /** Flat list of names and values, as in `rawHeaders`. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly cancel: CancelSignal;
-  /** Longest wait for the head of the answer, milliseconds. */
+  readonly cancelSignal: CancelSignal;
+  /** Timeout for the response headers, connecting included, milliseconds. */
   readonly headTimeoutMs: number;
 }
 
-/** How it went, up to the head of the answer. */
+/** Result of a call up to the response headers. */
 export type TargetOutcome =
   | {readonly kind: 'answered'; readonly res: http.IncomingMessage}
-  /** No connection came about: nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | {readonly kind: 'unsent'; readonly reason: string}
-  /** It was sent, and may have run. */
+  /** It was sent and may have run, but no response headers arrived. */
   | {readonly kind: 'lost'; readonly reason: string}
-  /** The caller's side gave up after it was sent. */
+  /** `cancelSignal` fired after it was sent; it may have run. */
   | {readonly kind: 'cancelled'};
 
-/** Sends; never rejects. Destroying `res` ends the connection. */
+/** Sends the request; never rejects. Destroying `res` closes the connection. */
 export function callTarget(call: TargetCall): Promise<TargetOutcome> {
   return new Promise(resolve => {
     const [host, port] = call.address.split(':');
@@ -62,7 +63,7 @@
       settled = true;
       for (const timer of timers) clearTimeout(timer);
       if (outcome.kind !== 'answered') {
-        call.cancel.removeEventListener('abort', onCancel);
+        call.cancelSignal.removeEventListener('abort', onCancel);
         req.destroy();
       }
       resolve(outcome);
@@ -74,12 +75,12 @@
       else fail('cancelled');
       req.destroy();
     };
-    const later = (ms: number, run: () => void) =>
+    const addTimer = (ms: number, run: () => void) =>
       timers.push(setTimeout(run, ms));
-    later(CONNECT_TIMEOUT_MS, () => {
-      if (!connected) fail('no connection in time');
+    addTimer(CONNECT_TIMEOUT_MS, () => {
+      if (!connected) fail('connect timeout');
     });
-    later(call.headTimeoutMs, () => fail('no answer in time'));
+    addTimer(call.headTimeoutMs, () => fail('response header timeout'));
     req.on('socket', socket =>
       socket.once('connect', () => {
         connected = true;
@@ -87,18 +88,18 @@
       })
     );
     req.on('error', err => fail(err.message));
-    req.on('close', () => fail('the connection ended'));
+    req.on('close', () => fail('connection closed'));
     req.on('response', res => {
       res.once('close', () =>
-        call.cancel.removeEventListener('abort', onCancel)
+        call.cancelSignal.removeEventListener('abort', onCancel)
       );
       settle({kind: 'answered', res});
     });
-    if (call.cancel.aborted) {
+    if (call.cancelSignal.aborted) {
       onCancel();
       return;
     }
-    call.cancel.addEventListener('abort', onCancel, {once: true});
+    call.cancelSignal.addEventListener('abort', onCancel, {once: true});
     req.end(call.body);
   });
 }
--- a/src/gateway/callerStream.ts
+++ b/src/gateway/callerStream.ts
@@ -1,61 +1,61 @@
 /**
- * The caller's side of a stream: whole events only, and no faster than the
- * caller reads. The head goes out with the first event; until then another
- * target can still begin from scratch.
+ * Writes a stream to the caller, in whole events and with backpressure. The
+ * response headers are sent with the first event; until then another target can
+ * still start the stream from the beginning.
  */
 
 import type {ServerResponse} from 'node:http';
 import {once} from 'node:events';
 
-/** Head of the answer, as the first target gave it. */
+/** Status and headers of the response, taken from the first target. */
 export interface StreamHead {
   readonly status: number;
-  /** Raw list. */
+  /** Flat list of names and values, as in `rawHeaders`. */
   readonly headers: readonly string[];
 }
 
-/** Writes events to one caller. */
+/** The response stream of one caller. */
 export class CallerStream {
-  private begun = false;
+  private headSent = false;
   private lastId: string | undefined;
 
   constructor(private readonly res: ServerResponse) {}
 
-  /** Whether the caller has got the head. */
+  /** Whether the response headers have been sent. */
   get hasBegun(): boolean {
-    return this.begun;
+    return this.headSent;
   }
 
-  /** Id of the event that was forwarded last. */
+  /** Id of the last event that was written. */
   get lastEventId(): string | undefined {
     return this.lastId;
   }
 
-  /** Resolves when more may be written. */
+  /** Writes one event; resolves when more may be written. */
   async write(
     head: StreamHead,
     raw: string,
     id: string | undefined
   ): Promise<void> {
     const {res} = this;
-    if (!this.begun) {
-      this.begun = true;
+    if (!this.headSent) {
+      this.headSent = true;
       res.writeHead(head.status, [...head.headers]);
     }
     if (id !== undefined) this.lastId = id;
-    const isTaken = res.write(Buffer.from(raw, 'latin1'));
-    if (!isTaken && !res.destroyed)
+    const hasCapacity = res.write(Buffer.from(raw, 'latin1'));
+    if (!hasCapacity && !res.destroyed)
       await Promise.race([once(res, 'drain'), once(res, 'close')]);
   }
 
-  /** Ends as complete. */
+  /** Ends the response as complete. */
   end(head: StreamHead): void {
-    if (!this.begun) this.res.writeHead(head.status, [...head.headers]);
+    if (!this.headSent) this.res.writeHead(head.status, [...head.headers]);
     this.res.end();
   }
 
-  /** Ends so that the caller sees that something is missing. */
-  cut(): void {
+  /** Closes the connection so that the caller sees an incomplete response. */
+  abort(): void {
     this.res.destroy();
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** What all requests of one gateway share. */
+/** State that all requests of one gateway share. */
 
 import type {ClusterNode, ClusterView} from '../cluster/clusterNode';
 import type {ServiceLoad} from '../cluster/messages';
@@ -10,7 +10,7 @@
 import type {ChoiceInput, PoolBounds} from './servicePool';
 import {ServicePool} from './servicePool';
 
-/** What a gateway is made of. */
+/** Dependencies and settings of a gateway. */
 export interface GatewayParts {
   readonly callers: CallerCodec;
   readonly targets: TargetCodec;
@@ -18,22 +18,22 @@
   readonly availabilityZone: string;
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
-  /** The cluster that it belongs to; set once that runs. */
+  /** This process's cluster node; undefined until it has started. */
   node(): ClusterNode | undefined;
 }
 
-/** Pools by service, kept up to date with the view of the cluster. */
+/** One pool for each service, updated from the view of the cluster. */
 export class Gateway {
   private readonly pools = new Map<string, ServicePool>();
-  private grantsSeen: ClusterView['grants'] | undefined;
+  private appliedGrants: ClusterView['grants'] | undefined;
 
   constructor(readonly parts: GatewayParts) {}
 
-  /** Undefined until the node knows a site. */
+  /** Current view of the cluster; undefined until the cluster node has started. */
   get view(): ClusterView | undefined {
     const view = this.parts.node()?.view;
-    if (view !== undefined && view.grants !== this.grantsSeen)
-      this.takeGrants(view);
+    if (view !== undefined && view.grants !== this.appliedGrants)
+      this.applyGrants(view);
     return view;
   }
 
@@ -61,26 +61,27 @@
     };
   }
 
-  /** Regular work: requests that waited too long, targets that are no more. */
+  /** Refuses requests that have been queued for too long; called periodically. */
   tick(): void {
     const nowMs = performance.now();
     for (const pool of this.pools.values()) pool.queue.expire(nowMs);
   }
 
-  /** Report to the leader. */
+  /** Load of each service for the report to the leader; resets the counters. */
   takeLoads(): readonly ServiceLoad[] {
     return [...this.pools.values()].map(pool => pool.takeLoad());
   }
 
-  /** For whoever asks how this node stands. */
+  /** Gauges of each service for the metrics. */
   poolGauges(): readonly PoolGauge[] {
     return [...this.pools.values()].map(pool => pool.gauge());
   }
 
-  private takeGrants(view: ClusterView): void {
-    this.grantsSeen = view.grants;
-    for (const [service, grant] of view.grants) this.pool(service).grant(grant);
+  private applyGrants(view: ClusterView): void {
+    this.appliedGrants = view.grants;
+    for (const [service, grant] of view.grants)
+      this.pool(service).applyGrant(grant);
     const records = this.parts.node()?.table.records() ?? [];
-    for (const pool of this.pools.values()) pool.forget(records);
+    for (const pool of this.pools.values()) pool.retainTargets(records);
   }
 }
--- a/src/gateway/gatewayServer.ts
+++ b/src/gateway/gatewayServer.ts
@@ -1,42 +1,42 @@
-/** The address of callers: connections, their limits, and an orderly end. */
+/** HTTP server for callers: connections, their timeouts, and draining. */
 
 import http from 'node:http';
 import {Subscription, interval} from 'rxjs';
 import type {Gateway} from './gateway';
 import {serveRequest} from './serveRequest';
 
-/** Before a site is known; a site's own limits replace them. */
-const FIRST_IDLE_MS = 15_000;
-const FIRST_HEADER_MS = 3_000;
+/** Timeouts until a site is known; the limits of the site replace them. */
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+const DEFAULT_HEADER_TIMEOUT_MS = 3_000;
 const MAX_HEADER_BYTES = 64 << 10;
-/** Requests that waited too long are found this much later at most. */
-const TICK_MS = 20;
-/** How often the limits of the site are looked at. */
-const LIMITS_PERIOD_MS = 500;
-const DRAIN_LOOK_MS = 50;
+/** A queued request outlives its maximum wait by at most this time. */
+const QUEUE_EXPIRY_INTERVAL_MS = 20;
+/** Interval at which the timeouts are updated from the limits of the site. */
+const LIMITS_REFRESH_INTERVAL_MS = 500;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** Serves callers. */
+/** Serves requests of callers. */
 export class GatewayServer {
   private readonly server: http.Server;
   private readonly subscription = new Subscription();
-  private active = 0;
-  /** While set, requests are turned away unread. */
-  private turnsAway = false;
-  private closing = false;
+  private activeRequests = 0;
+  /** Whether new requests are refused without reading their bodies. */
+  private refusesRequests = false;
+  private draining = false;
 
   constructor(private readonly gateway: Gateway) {
     this.server = http.createServer(
       {maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: 1_000},
       (req, res) => void this.serve(req, res)
     );
-    this.server.keepAliveTimeout = FIRST_IDLE_MS;
-    this.server.headersTimeout = FIRST_HEADER_MS;
+    this.server.keepAliveTimeout = DEFAULT_IDLE_TIMEOUT_MS;
+    this.server.headersTimeout = DEFAULT_HEADER_TIMEOUT_MS;
     this.server.requestTimeout = 0;
     this.subscription.add(
-      interval(TICK_MS).subscribe(() => this.gateway.tick())
+      interval(QUEUE_EXPIRY_INTERVAL_MS).subscribe(() => this.gateway.tick())
     );
     this.subscription.add(
-      interval(LIMITS_PERIOD_MS).subscribe(() => this.applyLimits())
+      interval(LIMITS_REFRESH_INTERVAL_MS).subscribe(() => this.applyLimits())
     );
   }
 
@@ -47,21 +47,21 @@
     });
   }
 
-  /** From now on each answer ends its connection. */
+  /** Closes the connection of each request that arrives from now on. */
   beginDrain(): void {
-    this.closing = true;
+    this.draining = true;
   }
 
-  /** From now on nothing more is begun. */
-  turnAway(): void {
-    this.turnsAway = true;
+  /** Refuses all new requests; those in progress continue. */
+  refuseNewRequests(): void {
+    this.refusesRequests = true;
   }
 
-  /** Resolves when nothing is in work any more, or after `ms`. */
-  async idle(ms: number): Promise<void> {
+  /** Resolves when no request is in progress, or after `ms`. */
+  async waitUntilIdle(ms: number): Promise<void> {
     const endMs = performance.now() + ms;
-    while (this.active > 0 && performance.now() < endMs)
-      await new Promise(resolve => setTimeout(resolve, DRAIN_LOOK_MS));
+    while (this.activeRequests > 0 && performance.now() < endMs)
+      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_INTERVAL_MS));
   }
 
   close(): void {
@@ -74,24 +74,24 @@
     req: http.IncomingMessage,
     res: http.ServerResponse
   ): Promise<void> {
-    this.active++;
+    this.activeRequests++;
     try {
-      if (this.closing) res.shouldKeepAlive = false;
-      if (this.turnsAway) this.refuseStopping(res);
+      if (this.draining) res.shouldKeepAlive = false;
+      if (this.refusesRequests) this.refuseAsStopping(res);
       else await serveRequest(this.gateway, req, res);
     } finally {
-      this.active--;
+      this.activeRequests--;
     }
   }
 
-  private refuseStopping(res: http.ServerResponse): void {
-    const refusal = {kind: 'stopping', retryInMs: RETRY_ELSEWHERE_MS} as const;
-    const answer = this.gateway.parts.callers.refuse(refusal);
-    res.writeHead(answer.status, {
-      ...answer.headers,
-      'content-length': Buffer.byteLength(answer.body),
+  private refuseAsStopping(res: http.ServerResponse): void {
+    const refusal = {kind: 'stopping', retryInMs: STOPPING_RETRY_MS} as const;
+    const response = this.gateway.parts.callers.refuse(refusal);
+    res.writeHead(response.status, {
+      ...response.headers,
+      'content-length': Buffer.byteLength(response.body),
     });
-    res.end(answer.body);
+    res.end(response.body);
   }
 
   private applyLimits(): void {
@@ -102,5 +102,5 @@
   }
 }
 
-/** Another node takes the next try at once. */
-const RETRY_ELSEWHERE_MS = 50;
+/** Retry-After while stopping: another node can take the retry at once. */
+const STOPPING_RETRY_MS = 50;
--- a/src/gateway/groupStreams.ts
+++ b/src/gateway/groupStreams.ts
@@ -1,19 +1,22 @@
-/** Streams of one gateway in one group of ranks, which show how it steps. */
+/**
+ * Infers pass durations and stalls of groups of ranks from the streams that one
+ * gateway relays.
+ */
 
 import {PassPace} from '../policy/passPace';
 import {StallWatch} from '../policy/stallWatch';
 
-/** Streams of one group. */
+/** Observations from the streams of one group. */
 export class GroupStreams {
-  readonly pace = new PassPace();
-  readonly stalls = new StallWatch();
+  readonly passDuration = new PassPace();
+  readonly stallWatch = new StallWatch();
 }
 
-/** Streams of a service by the name of the group. */
+/** Observations for one service, by group name. */
 export class StreamsByGroup {
   private readonly groups = new Map<string, GroupStreams>();
 
-  of(group: string): GroupStreams {
+  forGroup(group: string): GroupStreams {
     const known = this.groups.get(group);
     if (known !== undefined) return known;
     const streams = new GroupStreams();
@@ -21,34 +24,34 @@
     return streams;
   }
 
-  /** Length of a pass; 0 when no stream runs. */
-  paceMs(group: string, nowMs: number): number {
-    return this.groups.get(group)?.pace.paceMs(nowMs) ?? 0;
+  /** Pass duration of one group; 0 when no stream runs. */
+  passDurationMs(group: string, nowMs: number): number {
+    return this.groups.get(group)?.passDuration.paceMs(nowMs) ?? 0;
   }
 
-  /** Length of a pass of each group that has streams. */
+  /** Pass duration of each group that has streams. */
   pacesMs(nowMs: number): Record<string, number> {
     const paces = [...this.groups.keys()].map(
-      group => [group, this.paceMs(group, nowMs)] as const
+      group => [group, this.passDurationMs(group, nowMs)] as const
     );
     return Object.fromEntries(paces.filter(([, ms]) => ms > 0));
   }
 
   isStalled(group: string, nowMs: number): boolean {
-    return this.groups.get(group)?.stalls.isStalled(nowMs) === true;
+    return this.groups.get(group)?.stallWatch.isStalled(nowMs) === true;
   }
 
-  /** Whether every group that had streams stands still. */
-  areAllStalled(nowMs: number): boolean {
+  /** Whether every known group is stalled; false when none is known. */
+  areAllGroupsStalled(nowMs: number): boolean {
     const names = [...this.groups.keys()];
     return (
       names.length > 0 && names.every(group => this.isStalled(group, nowMs))
     );
   }
 
-  /** Drops groups without streams that are no more. */
+  /** Evicts groups that are not in `names`, once their streams have ended. */
   retain(names: ReadonlySet<string>): void {
-    for (const [name, {stalls}] of this.groups)
-      if (!names.has(name) && stalls.isEmpty) this.groups.delete(name);
+    for (const [name, {stallWatch}] of this.groups)
+      if (!names.has(name) && stallWatch.isEmpty) this.groups.delete(name);
   }
 }
--- a/src/gateway/readBody.ts
+++ b/src/gateway/readBody.ts
@@ -2,14 +2,14 @@
 
 import type {IncomingMessage} from 'node:http';
 
-/** The body, or why there is none. */
+/** The body, or why it could not be read. */
 export type BodyResult =
   | {readonly kind: 'body'; readonly body: Buffer}
   | {readonly kind: 'tooLarge'}
-  /** The caller went away before it had sent all. */
+  /** The caller disconnected before the body was complete. */
   | {readonly kind: 'gone'};
 
-/** Reads up to `maxBytes`. */
+/** Reads the body; `tooLarge` above `maxBytes`. */
 export function readBody(
   req: IncomingMessage,
   maxBytes: number
--- a/src/gateway/relayEvents.ts
+++ b/src/gateway/relayEvents.ts
@@ -1,50 +1,52 @@
-/** Passes the events of one target on to the caller. */
+/** Relays the events of one target's response stream to the caller. */
 
 import type {IncomingMessage} from 'node:http';
 import {SseParser} from '../core/sseParser';
 import type {CallerStream, StreamHead} from './callerStream';
 
-/** How a target's part of a stream ended. */
+/** How the response stream of one target ended. */
 export type RelayEnd =
   | {readonly kind: 'complete'}
-  /** It broke off; what was forwarded are whole events. */
+  /** It ended early; only whole events were relayed. */
   | {readonly kind: 'broken'; readonly reason: string};
 
-/** Told as events pass. */
-export interface RelayWatcher {
+/** Callbacks for relayed events. */
+export interface RelayObserver {
   onFirstEvent(): void;
   onEvent(nowMs: number): void;
   onGap(ms: number): void;
 }
 
-/** Forwards until the target ends or breaks off. */
+/** Relays until the target's stream ends or breaks. */
 export async function relayEvents(
   res: IncomingMessage,
   head: StreamHead,
   caller: CallerStream,
-  watcher: RelayWatcher
+  observer: RelayObserver
 ): Promise<RelayEnd> {
   const parser = new SseParser('latin1');
-  let lastAtMs: number | undefined;
+  let lastEventAtMs: number | undefined;
   try {
     for await (const chunk of res as AsyncIterable<Buffer>) {
       for (const event of parser.push(chunk)) {
         const problem = sequenceProblem(caller.lastEventId, event.id);
         if (problem !== undefined) return broken(res, problem);
         const nowMs = performance.now();
-        watcher.onEvent(nowMs);
-        if (lastAtMs === undefined) watcher.onFirstEvent();
-        else watcher.onGap(nowMs - lastAtMs);
-        lastAtMs = nowMs;
+        observer.onEvent(nowMs);
+        if (lastEventAtMs === undefined) observer.onFirstEvent();
+        else observer.onGap(nowMs - lastEventAtMs);
+        lastEventAtMs = nowMs;
         await caller.write(head, event.raw, event.id);
       }
     }
   } catch (err) {
     return broken(res, err instanceof Error ? err.message : String(err));
   }
-  if (!res.complete) return broken(res, 'the connection ended early');
-  // Half an event at a regular end: the target stopped in the middle of it.
-  if (parser.pendingChars > 0) return broken(res, 'it ended within an event');
+  if (!res.complete)
+    return broken(res, 'connection closed before the end of the stream');
+  // The HTTP body is complete, but the target stopped in the middle of an event.
+  if (parser.pendingChars > 0)
+    return broken(res, 'stream ended in the middle of an event');
   return {kind: 'complete'};
 }
 
@@ -54,8 +56,8 @@
 }
 
 /**
- * Ids rise by one. A target that goes on at another place would make the
- * caller's stream skip or repeat something.
+ * Event ids increase by one. A target that resumes from another id would make
+ * the caller's stream skip or repeat events.
  */
 function sequenceProblem(
   last: string | undefined,
--- a/src/gateway/requestState.ts
+++ b/src/gateway/requestState.ts
@@ -1,29 +1,35 @@
-/** One request on its way through a gateway. */
+/** State of one request in a gateway. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {Cancellation} from '../core/cancellation';
 import type {CallerRequest} from '../ports/callerPort';
 import type {SiteCustomer, SiteRoute, SiteService} from '../site/site';
 
-/** Why a request is given up before it has an answer. */
+/**
+ * Why a request was cancelled: the caller closed the connection before the
+ * response was complete, or the deadline passed.
+ */
 export type StopReason = 'callerGone' | 'timedOut';
 
-/** A request, from its head to its end. */
+/** One request, from its headers to the end of its response. */
 export class RequestState {
   readonly startedAtMs = performance.now();
-  readonly cancel = new Cancellation();
-  /** Targets that it was sent to, whether it ran there or not. */
+  readonly cancellation = new Cancellation();
+  /** Targets of its attempts, also of those that did not run it. */
   readonly tried = new Set<string>();
-  /** Milliseconds from its arrival: a place, the first event, the longest pause. */
+  /**
+   * For logs and metrics: time from its arrival to its slot and to the first
+   * event of its stream (0 before that), and the longest gap between two events.
+   */
   readonly marks = {placeMs: 0, firstEventMs: 0, longestGapMs: 0};
-  /** What a refusal rested on, for the log: names and figures. */
-  basis: Readonly<Record<string, number>> = {};
-  /** Service that refused it for want of capacity, and what bounds that. */
-  bound: {readonly service?: string; readonly boundBy?: string} = {};
-  /** Whether some target may have run it. */
+  /** Figures of the admission queue that led to a refusal, for the log. */
+  refusalFigures: Readonly<Record<string, number>> = {};
+  /** Service without a free slot, and what limits its concurrency, for the log. */
+  refusalCause: {readonly service?: string; readonly boundBy?: string} = {};
+  /** Whether any target may have run it. */
   mayHaveRun = false;
   private reason: StopReason | undefined;
-  private timer: NodeJS.Timeout | undefined;
+  private deadlineTimer: NodeJS.Timeout | undefined;
 
   constructor(
     readonly req: IncomingMessage,
@@ -32,11 +38,11 @@
   ) {
     res.once('close', () => {
       if (!res.writableFinished) this.stop('callerGone');
-      clearTimeout(this.timer);
+      clearTimeout(this.deadlineTimer);
     });
   }
 
-  /** Why it was given up; undefined while it goes on. */
+  /** Why it was cancelled; undefined while it is in progress. */
   get stopped(): StopReason | undefined {
     return this.reason;
   }
@@ -45,14 +51,17 @@
     return performance.now() - this.startedAtMs;
   }
 
-  /** Ends it when its time is over. */
-  limitTo(ms: number): void {
+  /** Cancels it `ms` after its arrival. */
+  startDeadline(ms: number): void {
     this.deadlineMs = this.startedAtMs + ms;
     const left = this.deadlineMs - performance.now();
-    this.timer = setTimeout(() => this.stop('timedOut'), Math.max(0, left));
+    this.deadlineTimer = setTimeout(
+      () => this.stop('timedOut'),
+      Math.max(0, left)
+    );
   }
 
-  /** Time that is left, milliseconds. */
+  /** Time until the deadline, milliseconds; negative after it. */
   get remainingMs(): number {
     return this.deadlineMs - performance.now();
   }
@@ -62,12 +71,12 @@
   private stop(reason: StopReason): void {
     if (this.reason !== undefined) return;
     this.reason = reason;
-    this.cancel.cancel();
+    this.cancellation.cancel();
   }
 }
 
-/** Where a request is to go. */
-export interface Routed {
+/** A request with its route, service and body. */
+export interface RoutedRequest {
   readonly route: SiteRoute;
   readonly service: SiteService;
   readonly customer?: SiteCustomer;
--- a/src/gateway/routeRequest.ts
+++ b/src/gateway/routeRequest.ts
@@ -4,7 +4,7 @@
 import type {SiteCustomer, SiteRoute, SiteService} from '../site/site';
 import type {SiteIndex} from '../site/siteIndex';
 
-/** Where it may go, or why not. */
+/** The route of a request, or why it is refused. */
 export type RouteResult =
   | {
       readonly kind: 'routed';
@@ -14,7 +14,7 @@
     }
   | {readonly kind: 'refused'; readonly refusal: GatewayRefusal};
 
-/** Decides by one version of the site; `random` is from 0 to below 1. */
+/** Routes by one version of the site; `random` returns a number in [0, 1). */
 export function routeRequest(
   index: SiteIndex,
   caller: CallerRequest,
@@ -37,10 +37,10 @@
 
 function pickService(route: SiteRoute, random: () => number): string {
   const total = route.split.reduce((sum, {weight}) => sum + weight, 0);
-  let at = random() * total;
+  let remainder = random() * total;
   for (const {service, weight} of route.split) {
-    at -= weight;
-    if (at < 0) return service;
+    remainder -= weight;
+    if (remainder < 0) return service;
   }
   return route.split[route.split.length - 1]?.service ?? '';
 }
--- a/src/gateway/runAttempts.ts
+++ b/src/gateway/runAttempts.ts
@@ -1,4 +1,4 @@
-/** Sends a request to targets until one has answered or nothing more may be tried. */
+/** Sends a request to targets until one responds or no more attempts are allowed. */
 
 import type {IncomingMessage} from 'node:http';
 import {unreachable} from '../core/errors';
@@ -10,71 +10,75 @@
 import {callTarget} from './callTarget';
 import {CallerStream} from './callerStream';
 import type {Gateway} from './gateway';
-import {readAnswer} from './readAnswer';
+import {readResponseBody} from './readAnswer';
 import {relayEvents} from './relayEvents';
-import type {RequestState, Routed} from './requestState';
+import type {RequestState, RoutedRequest} from './requestState';
 import {rounded} from '../core/rounded';
 import {stopRefusal} from './stopRefusal';
 
-/** What an attempt left behind, and what may follow. */
+/** Outcome of an attempt, which decides whether a retry may follow. */
 type AttemptEnd =
-  /** The caller has its answer, or has seen that there will be none. */
+  /** The response was relayed to the caller as complete. */
   | {readonly kind: 'answered'}
-  /** The target has surely not run it. */
+  /** The target did not run the request. */
   | {readonly kind: 'notRun'; readonly wasSent: boolean}
-  /** It may have run; the answer did not come whole. */
+  /** It may have run; no complete response to this request arrived. */
   | {readonly kind: 'lost'}
-  /** The target failed it and said so; the answer may be passed on. */
-  | {readonly kind: 'failed'; readonly answer: WholeAnswer}
+  /** The target responded with a server error, which may be relayed. */
+  | {readonly kind: 'failed'; readonly answer: WholeResponse}
+  /** The request was cancelled; see `StopReason`. */
   | {readonly kind: 'stopped'};
 
-interface WholeAnswer {
+interface WholeResponse {
   readonly status: number;
-  /** Raw list. */
+  /** Flat list of names and values, as in `rawHeaders`. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Whether the target told its length or where it ends. */
+  /** Whether the end was marked by a Content-Length or Transfer-Encoding. */
   readonly isFramed: boolean;
 }
 
-/** A target that fell out is known to all within a second. */
+/** All nodes learn of a lost target within a second. */
 const NO_TARGET_RETRY_MS = 400;
-/** A full queue of a target moves within a few passes. */
-const TURNED_AWAY_RETRY_MS = 300;
+/** A target's full queue has room again after a few passes. */
+const REJECTED_RETRY_MS = 300;
 /**
- * An idempotent call that takes so many times its latency target is sent to
- * another target: the first one hangs, or its answer was lost.
+ * An idempotent request without a response after this many times its latency
+ * target is retried elsewhere: the target hangs, or its response was lost.
  */
-const GIVE_UP_FACTOR = 3;
+const HEAD_TIMEOUT_FACTOR = 3;
 const FIRST_SERVER_ERROR = 500;
 
-/** Runs until there is an answer; a refusal is the caller's to answer. */
+/**
+ * Runs all attempts. Returns undefined if the response was written or the
+ * connection closed; otherwise the refusal that is still to be sent.
+ */
 export async function runAttempts(
   gateway: Gateway,
   state: RequestState,
-  routed: Routed
+  routed: RoutedRequest
 ): Promise<GatewayRefusal | undefined> {
-  const run = new AttemptRun(gateway, state, routed);
-  return run.toEnd();
+  const loop = new AttemptLoop(gateway, state, routed);
+  return loop.run();
 }
 
-class AttemptRun {
+class AttemptLoop {
   private readonly stream: CallerStream;
-  private sends = 0;
-  private lastAnswer: WholeAnswer | undefined;
+  private sendCount = 0;
+  private lastErrorResponse: WholeResponse | undefined;
 
   constructor(
     private readonly gateway: Gateway,
     private readonly state: RequestState,
-    private readonly routed: Routed
+    private readonly routed: RoutedRequest
   ) {
     this.stream = new CallerStream(state.res);
   }
 
-  async toEnd(): Promise<GatewayRefusal | undefined> {
+  async run(): Promise<GatewayRefusal | undefined> {
     for (;;) {
       const target = this.chooseTarget();
-      if (target === undefined) return this.giveUp();
+      if (target === undefined) return this.endUnsuccessfully();
       const end = await this.attempt(target);
       switch (end.kind) {
         case 'answered':
@@ -85,7 +89,7 @@
           if (!end.wasSent) continue;
           break;
         case 'failed':
-          this.lastAnswer = end.answer;
+          this.lastErrorResponse = end.answer;
           this.state.mayHaveRun = true;
           break;
         case 'lost':
@@ -94,24 +98,24 @@
         default:
           return unreachable(end);
       }
-      if (!this.mayTryAgain()) return this.giveUp();
+      if (!this.mayRetry()) return this.endUnsuccessfully();
     }
   }
 
-  private get isRepeatable(): boolean {
+  private get isRetrySafe(): boolean {
     const {repeat, resumable} = this.routed.route;
     return repeat === 'idempotent' || (repeat === 'stream' && resumable);
   }
 
-  /** Whether the last send may be followed by another. */
-  private mayTryAgain(): boolean {
+  /** Whether another attempt may follow the last one. */
+  private mayRetry(): boolean {
     const {state, routed, gateway} = this;
-    if (state.mayHaveRun && !this.isRepeatable) return false;
-    if (this.sends >= routed.route.maxAttempts) return false;
+    if (state.mayHaveRun && !this.isRetrySafe) return false;
+    if (this.sendCount >= routed.route.maxAttempts) return false;
     if (state.stopped !== undefined) return false;
     const nodes = gateway.view?.activeNodes ?? 1;
-    const {budget} = gateway.pool(routed.service.name);
-    return budget.tryRepeat(performance.now(), nodes);
+    const {retryBudget} = gateway.pool(routed.service.name);
+    return retryBudget.tryRepeat(performance.now(), nodes);
   }
 
   private chooseTarget(): TargetRecord | undefined {
@@ -122,38 +126,41 @@
     return pool.choose(gateway.choiceInput(routed.service, view, state.tried));
   }
 
-  /** Nothing more is tried: what the caller is told. */
-  private giveUp(): GatewayRefusal | undefined {
-    const {state, stream, lastAnswer} = this;
+  /**
+   * Ends the request after its last attempt: aborts a stream that has begun,
+   * relays the last error response, or returns a refusal.
+   */
+  private endUnsuccessfully(): GatewayRefusal | undefined {
+    const {state, stream, lastErrorResponse} = this;
     if (state.stopped !== undefined) return this.endStopped();
     if (stream.hasBegun) {
-      stream.cut();
+      stream.abort();
       return undefined;
     }
-    if (lastAnswer !== undefined) {
-      this.answerWith(lastAnswer);
+    if (lastErrorResponse !== undefined) {
+      this.respond(lastErrorResponse);
       return undefined;
     }
     if (state.mayHaveRun) return {kind: 'outcomeUnknown'};
-    return this.sends > 0
-      ? {kind: 'turnedAway', retryInMs: this.retryInMs(TURNED_AWAY_RETRY_MS)}
+    return this.sendCount > 0
+      ? {kind: 'turnedAway', retryInMs: this.retryInMs(REJECTED_RETRY_MS)}
       : {kind: 'noTarget', retryInMs: this.retryInMs(NO_TARGET_RETRY_MS)};
   }
 
-  /** Later where no target of the service works at all. */
-  private retryInMs(usualMs: number): number {
+  /** Retry-After; longer than `defaultMs` if the service has no usable target. */
+  private retryInMs(defaultMs: number): number {
     const {gateway, state, routed} = this;
     const {view} = gateway;
-    if (view === undefined) return usualMs;
+    if (view === undefined) return defaultMs;
     const input = gateway.choiceInput(routed.service, view, state.tried);
-    return gateway.pool(routed.service.name).isOut(input)
+    return gateway.pool(routed.service.name).hasNoUsableTarget(input)
       ? outageRetryMs(state.remainingMs, Math.random)
-      : usualMs;
+      : defaultMs;
   }
 
   private endStopped(): GatewayRefusal | undefined {
     if (!this.stream.hasBegun) return stopRefusal(this.state);
-    this.stream.cut();
+    this.stream.abort();
     return undefined;
   }
 
@@ -177,7 +184,7 @@
     startedAtMs: number
   ): Promise<AttemptEnd> {
     const {state, routed, gateway, stream} = this;
-    const {req, cancel, remainingMs} = state;
+    const {req, cancellation, remainingMs} = state;
     const pool = gateway.pool(routed.service.name);
     const outcome = await callTarget({
       address: target.address,
@@ -190,48 +197,48 @@
         lastEventId: stream.lastEventId,
       }),
       body: routed.body,
-      cancel,
+      cancelSignal: cancellation,
       headTimeoutMs: this.headTimeoutMs(),
     });
     const nowMs = performance.now();
     if (outcome.kind === 'unsent') {
       if (state.stopped !== undefined) return {kind: 'stopped'};
-      pool.note(target.id, {kind: 'unreachable'}, nowMs);
+      pool.noteAttempt(target.id, {kind: 'unreachable'}, nowMs);
       return {kind: 'notRun', wasSent: false};
     }
     this.countSend(nowMs);
     switch (outcome.kind) {
       case 'cancelled':
-        // Whatever was on its way may run: nothing proves the contrary.
+        // The request was being sent and may still run.
         state.mayHaveRun = true;
         return {kind: 'stopped'};
       case 'lost':
-        pool.note(target.id, {kind: 'failed'}, nowMs);
+        pool.noteAttempt(target.id, {kind: 'failed'}, nowMs);
         return {kind: 'lost'};
       case 'answered':
-        return this.takeAnswer(target, outcome.res, startedAtMs);
+        return this.handleResponse(target, outcome.res, startedAtMs);
       default:
         return unreachable(outcome);
     }
   }
 
   private countSend(nowMs: number): void {
-    this.sends++;
-    const {budget} = this.gateway.pool(this.routed.service.name);
-    if (this.sends === 1) budget.request(nowMs);
+    this.sendCount++;
+    const {retryBudget} = this.gateway.pool(this.routed.service.name);
+    if (this.sendCount === 1) retryBudget.request(nowMs);
   }
 
-  /** Only a call that may be sent again is given up before its time is over. */
+  /** The remaining time; less for an idempotent request that may be retried. */
   private headTimeoutMs(): number {
     const {route} = this.routed;
     const {remainingMs} = this.state;
-    const isLast = this.sends + 1 >= route.maxAttempts;
+    const isLast = this.sendCount + 1 >= route.maxAttempts;
     if (route.repeat !== 'idempotent' || isLast || route.latencyTargetMs === 0)
       return remainingMs;
-    return Math.min(remainingMs, route.latencyTargetMs * GIVE_UP_FACTOR);
+    return Math.min(remainingMs, route.latencyTargetMs * HEAD_TIMEOUT_FACTOR);
   }
 
-  private async takeAnswer(
+  private async handleResponse(
     target: TargetRecord,
     res: IncomingMessage,
     startedAtMs: number
@@ -240,12 +247,12 @@
     const pool = gateway.pool(routed.service.name);
     const head = gateway.parts.targets.readHead(res);
     if (head.notRun) {
-      pool.note(target.id, {kind: 'full'}, performance.now());
+      pool.noteAttempt(target.id, {kind: 'full'}, performance.now());
       res.destroy();
       return {kind: 'notRun', wasSent: true};
     }
-    if (!isForThis(head, state)) {
-      pool.note(target.id, {kind: 'failed'}, performance.now());
+    if (!isRelayable(head, state)) {
+      pool.noteAttempt(target.id, {kind: 'failed'}, performance.now());
       res.destroy();
       return {kind: 'lost'};
     }
@@ -262,7 +269,7 @@
   ): Promise<AttemptEnd> {
     const {gateway, state, routed, stream} = this;
     const pool = gateway.pool(routed.service.name);
-    const body = await this.readOrStop(res);
+    const body = await this.readWhole(res);
     if (state.stopped !== undefined) {
       state.mayHaveRun = true;
       return {kind: 'stopped'};
@@ -271,36 +278,36 @@
     const isWhole = body !== undefined;
     const isGood = isWhole && head.status < FIRST_SERVER_ERROR;
     const latencyMs = nowMs - startedAtMs;
-    pool.note(
+    pool.noteAttempt(
       target.id,
       isGood ? {kind: 'good', latencyMs} : {kind: 'failed'},
       nowMs
     );
     if (!isWhole) return {kind: 'lost'};
-    const headers = gateway.parts.targets.answerHeaders(res);
+    const headers = gateway.parts.targets.responseHeaders(res);
     const {status} = head;
-    const answer = {status, headers, body, isFramed: isFramed(res)};
-    if (!isGood) return {kind: 'failed', answer};
-    // A stream that has begun cannot turn into another kind of answer.
+    const response = {status, headers, body, isFramed: isFramed(res)};
+    if (!isGood) return {kind: 'failed', answer: response};
+    // The caller already has the beginning of a stream.
     if (stream.hasBegun) return {kind: 'lost'};
-    this.answerWith(answer);
+    this.respond(response);
     return {kind: 'answered'};
   }
 
-  private async readOrStop(res: IncomingMessage): Promise<Buffer | undefined> {
-    const {cancel} = this.state;
-    const stop = () => res.destroy();
-    cancel.addEventListener('abort', stop);
-    const body = await readAnswer(res);
-    cancel.removeEventListener('abort', stop);
+  private async readWhole(res: IncomingMessage): Promise<Buffer | undefined> {
+    const {cancellation} = this.state;
+    const onCancel = () => res.destroy();
+    cancellation.addEventListener('abort', onCancel);
+    const body = await readResponseBody(res);
+    cancellation.removeEventListener('abort', onCancel);
     return body;
   }
 
-  private answerWith({status, headers, body, isFramed}: WholeAnswer): void {
+  private respond({status, headers, body, isFramed}: WholeResponse): void {
     const {res} = this.state;
     if (res.destroyed) return;
-    // Without a length of its own the answer may have been cut off by the
-    // target's end; a length of ours would state that it is whole.
+    // An unframed response may have been truncated when the target closed the
+    // connection. A Content-Length or chunked encoding would declare it complete.
     if (!isFramed) {
       res.useChunkedEncodingByDefault = false;
       res.shouldKeepAlive = false;
@@ -317,33 +324,35 @@
   ): Promise<AttemptEnd> {
     const {gateway, state, routed, stream} = this;
     const pool = gateway.pool(routed.service.name);
-    const {pace, stalls} = pool.streams.of(groupNameOf(target));
-    const {cancel} = state;
-    const stop = () => res.destroy();
-    cancel.addEventListener('abort', stop);
+    const {passDuration, stallWatch} = pool.streams.forGroup(
+      groupNameOf(target)
+    );
+    const {cancellation} = state;
+    const onCancel = () => res.destroy();
+    cancellation.addEventListener('abort', onCancel);
     const callerHead = {
       status: head.status,
-      headers: gateway.parts.targets.answerHeaders(res),
+      headers: gateway.parts.targets.responseHeaders(res),
     };
     let hasBegun = false;
     const end = await relayEvents(res, callerHead, stream, {
       onFirstEvent: () => {
         const nowMs = performance.now();
-        stalls.opened();
+        stallWatch.opened();
         hasBegun = true;
         const latencyMs = nowMs - startedAtMs;
-        pool.note(target.id, {kind: 'good', latencyMs}, nowMs);
+        pool.noteAttempt(target.id, {kind: 'good', latencyMs}, nowMs);
         if (state.marks.firstEventMs === 0)
           state.marks.firstEventMs = state.ageMs;
       },
-      onEvent: nowMs => stalls.noteEvent(nowMs),
+      onEvent: nowMs => stallWatch.noteEvent(nowMs),
       onGap: ms => {
-        pace.note(ms, performance.now());
+        passDuration.note(ms, performance.now());
         state.marks.longestGapMs = Math.max(state.marks.longestGapMs, ms);
       },
     });
-    if (hasBegun) stalls.closed();
-    cancel.removeEventListener('abort', stop);
+    if (hasBegun) stallWatch.closed();
+    cancellation.removeEventListener('abort', onCancel);
     if (state.stopped !== undefined) {
       state.mayHaveRun = true;
       return {kind: 'stopped'};
@@ -352,7 +361,7 @@
       stream.end(callerHead);
       return {kind: 'answered'};
     }
-    pool.note(target.id, {kind: 'failed'}, performance.now());
+    pool.noteAttempt(target.id, {kind: 'failed'}, performance.now());
     return {kind: 'lost'};
   }
 
@@ -378,8 +387,12 @@
   }
 }
 
-/** A late answer to another request must not pass for this one's. */
-function isForThis(head: TargetHead, {caller}: RequestState): boolean {
+/**
+ * Whether the response may be relayed: it names this attempt, so that a late
+ * response to another request is not relayed instead, and its body has no
+ * content encoding.
+ */
+function isRelayable(head: TargetHead, {caller}: RequestState): boolean {
   if (!head.isPlainBody) return false;
   if (caller.attemptId === undefined) return true;
   return head.attemptId === caller.attemptId;
--- a/src/gateway/serveRequest.ts
+++ b/src/gateway/serveRequest.ts
@@ -1,6 +1,6 @@
 /**
- * The chain of a request: route, body, a place, then targets one after the
- * other until one gave an answer or nothing more may be tried.
+ * Serves one request: finds its route, reads its body, waits for a slot, and
+ * sends it to targets until one responds or no more attempts are allowed.
  */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -9,7 +9,7 @@
 import type {GatewayRefusal} from '../ports/callerPort';
 import type {Gateway} from './gateway';
 import {readBody} from './readBody';
-import type {Routed} from './requestState';
+import type {RoutedRequest} from './requestState';
 import {RequestState} from './requestState';
 import {routeRequest} from './routeRequest';
 import {rounded} from '../core/rounded';
@@ -17,16 +17,16 @@
 import {stopRefusal} from './stopRefusal';
 
 /**
- * Part of the latency target that a request may wait for a place. What is left
- * must do for reading the prompt, the first pass and a slow pass besides. A
- * longer wait carries the load of a burst into the seconds after it.
+ * Part of the latency target that a request may be queued for. The rest must
+ * cover reading the prompt, the first pass and one slow pass. A longer queue
+ * would carry the load of a burst over into the following seconds.
  */
-const MAX_WAIT_RATIO = 0.4;
-/** Without a latency target: as long as a person waits without noticing. */
-const USUAL_TARGET_MS = 500;
-const FAULT_RETRY_MS = 500;
+const MAX_QUEUE_WAIT_RATIO = 0.4;
+/** For routes without a latency target: a delay that a person hardly notices. */
+const DEFAULT_LATENCY_TARGET_MS = 500;
+const INTERNAL_ERROR_RETRY_MS = 500;
 
-/** Serves one request to its end; never rejects. */
+/** Serves one request until its response has ended; never rejects. */
 export async function serveRequest(
   gateway: Gateway,
   req: IncomingMessage,
@@ -35,24 +35,27 @@
   const {callers, logger} = gateway.parts;
   const state = new RequestState(req, res, callers.read(req));
   try {
-    const refusal = await serve(gateway, state);
-    if (refusal !== undefined) answerRefusal(gateway, state, refusal);
+    const refusal = await routeAndRun(gateway, state);
+    if (refusal !== undefined) sendRefusal(gateway, state, refusal);
   } catch (err) {
     const {attemptId} = state.caller;
-    logger.error({event: 'request.failed', attemptId, err}, 'fault of our own');
-    if (!res.headersSent) refuseFault(gateway, state);
+    logger.error(
+      {event: 'request.failed', attemptId, err},
+      'internal error while serving the request'
+    );
+    if (!res.headersSent) refuseInternalError(gateway, state);
     else res.destroy();
   }
 }
 
-function refuseFault(gateway: Gateway, state: RequestState): void {
+function refuseInternalError(gateway: Gateway, state: RequestState): void {
   const kind = state.mayHaveRun ? 'outcomeUnknown' : 'noTarget';
   const refusal: GatewayRefusal =
-    kind === 'noTarget' ? {kind, retryInMs: FAULT_RETRY_MS} : {kind};
-  answerRefusal(gateway, state, refusal);
+    kind === 'noTarget' ? {kind, retryInMs: INTERNAL_ERROR_RETRY_MS} : {kind};
+  sendRefusal(gateway, state, refusal);
 }
 
-async function serve(
+async function routeAndRun(
   gateway: Gateway,
   state: RequestState
 ): Promise<GatewayRefusal | undefined> {
@@ -63,33 +66,36 @@
     const retryInMs = noSiteRetryMs(knowsLeader, waitMs, Math.random);
     return {kind: 'noSite', retryInMs};
   }
-  const found = routeRequest(view.index, state.caller, Math.random);
-  if (found.kind === 'refused') return found.refusal;
-  const {route, service, customer} = found;
-  state.limitTo(Math.min(route.timeoutMs, waitMs));
-  const read = await readBody(state.req, view.index.site.limits.maxBodyBytes);
-  switch (read.kind) {
+  const routing = routeRequest(view.index, state.caller, Math.random);
+  if (routing.kind === 'refused') return routing.refusal;
+  const {route, service, customer} = routing;
+  state.startDeadline(Math.min(route.timeoutMs, waitMs));
+  const bodyResult = await readBody(
+    state.req,
+    view.index.site.limits.maxBodyBytes
+  );
+  switch (bodyResult.kind) {
     case 'tooLarge':
       return {kind: 'bodyTooLarge'};
     case 'gone':
       return undefined;
     case 'body':
-      return withPlace(gateway, state, {
+      return runWithSlot(gateway, state, {
         route,
         service,
         customer,
-        body: read.body,
+        body: bodyResult.body,
       });
     default:
-      return unreachable(read);
+      return unreachable(bodyResult);
   }
 }
 
-/** Waits for a place, runs the attempts, gives the place back. */
-async function withPlace(
+/** Waits for a slot, runs the attempts and releases the slot. */
+async function runWithSlot(
   gateway: Gateway,
   state: RequestState,
-  routed: Routed
+  routed: RoutedRequest
 ): Promise<GatewayRefusal | undefined> {
   const pool = gateway.pool(routed.service.name);
   if (pool.isStalled(performance.now())) {
@@ -97,76 +103,76 @@
     return {kind: 'noTarget', retryInMs};
   }
   pool.noteArrival();
-  const refusal = await enter(gateway, state, routed);
-  if (refusal !== 'entered') return refusal;
-  const sinceMs = performance.now();
+  const refusal = await waitForSlot(gateway, state, routed);
+  if (refusal !== 'admitted') return refusal;
+  const admittedAtMs = performance.now();
   state.marks.placeMs = state.ageMs;
   try {
     if (state.stopped !== undefined) return stopRefusal(state);
     return await runAttempts(gateway, state, routed);
   } finally {
-    pool.queue.leave(performance.now() - sinceMs);
+    pool.queue.leave(performance.now() - admittedAtMs);
   }
 }
 
-function enter(
+function waitForSlot(
   gateway: Gateway,
   state: RequestState,
-  {route, service, customer}: Routed
-): Promise<GatewayRefusal | undefined | 'entered'> {
+  {route, service, customer}: RoutedRequest
+): Promise<GatewayRefusal | undefined | 'admitted'> {
   const pool = gateway.pool(service.name);
-  const {queue, retries} = pool;
-  const targetMs = route.latencyTargetMs || USUAL_TARGET_MS;
+  const {queue, retryTiming} = pool;
+  const latencyTargetMs = route.latencyTargetMs || DEFAULT_LATENCY_TARGET_MS;
   return new Promise(resolve => {
     const onCancel = () => {
       queue.withdraw(request);
       resolve(stopRefusal(state));
     };
-    const finish = (result: GatewayRefusal | 'entered') => {
-      state.cancel.removeEventListener('abort', onCancel);
+    const settle = (result: GatewayRefusal | 'admitted') => {
+      state.cancellation.removeEventListener('abort', onCancel);
       resolve(result);
     };
     const request = {
       priority: customer?.priority ?? route.priority,
-      maxWaitMs: targetMs * MAX_WAIT_RATIO,
-      start: () => finish('entered'),
+      maxWaitMs: latencyTargetMs * MAX_QUEUE_WAIT_RATIO,
+      start: () => settle('admitted'),
       refuse: () => {
         const {places, inFlight, waitingCount, serviceTimeMs} = queue;
         const {maxWaitMs} = request;
-        state.basis = {
+        state.refusalFigures = {
           places,
           inFlight,
           waitingCount,
           serviceTimeMs,
           maxWaitMs,
         };
-        state.bound = {service: service.name, boundBy: pool.boundBy};
-        const retryInMs = retries.refuse(performance.now(), Math.random);
-        finish({kind: 'overloaded', retryInMs});
+        state.refusalCause = {service: service.name, boundBy: pool.boundBy};
+        const retryInMs = retryTiming.refuse(performance.now(), Math.random);
+        settle({kind: 'overloaded', retryInMs});
       },
     };
-    state.cancel.addEventListener('abort', onCancel);
-    retries.noteAsked(performance.now());
+    state.cancellation.addEventListener('abort', onCancel);
+    retryTiming.noteAsked(performance.now());
     queue.enter(request, performance.now());
   });
 }
 
-function answerRefusal(
+function sendRefusal(
   gateway: Gateway,
   state: RequestState,
   refusal: GatewayRefusal
 ): void {
   const {res, caller} = state;
   const {callers, logger, metrics} = gateway.parts;
-  const answer = callers.refuse(refusal);
+  const response = callers.refuse(refusal);
   metrics.refused(refusal.kind);
   logger.info(
     {
       event: 'request.refused',
       attemptId: caller.attemptId,
       refusal,
-      ...rounded(state.basis),
-      ...state.bound,
+      ...rounded(state.refusalFigures),
+      ...state.refusalCause,
       siteVersion: gateway.view?.index?.site.version,
       ageMs: Math.round(state.ageMs),
       tried: [...state.tried],
@@ -174,9 +180,9 @@
     refusal.kind
   );
   if (res.headersSent || res.destroyed) return;
-  res.writeHead(answer.status, {
-    ...answer.headers,
-    'content-length': Buffer.byteLength(answer.body),
+  res.writeHead(response.status, {
+    ...response.headers,
+    'content-length': Buffer.byteLength(response.body),
   });
-  res.end(answer.body);
+  res.end(response.body);
 }
--- a/src/gateway/servicePool.ts
+++ b/src/gateway/servicePool.ts
@@ -1,4 +1,4 @@
-/** What one gateway knows and has in work of one service. */
+/** State of one service at one gateway: admission, target choice and load. */
 
 import type {ServiceGrant, ServiceLoad} from '../cluster/messages';
 import type {PoolGauge} from '../core/nodeMetrics';
@@ -17,87 +17,87 @@
 import {WindowBudget} from '../policy/windowBudget';
 import {StreamsByGroup} from './groupStreams';
 
-/** Before a leader has granted anything: enough to begin with. */
+/** Concurrency limit until the first grant from a leader. */
 const INITIAL_CONCURRENCY = 2;
 
-/** Bounds of the deployment that a pool keeps to. */
+/** Limits of the deployment that each pool enforces. */
 export interface PoolBounds {
-  /** Of this node, different from that of each other one. */
+  /** Unique among all nodes. */
   readonly nodeId: string;
   readonly retries: WindowBudgetLimits;
-  /** Times the rate that a cold target is said to bear. */
+  /** Factor in the rate limit of a cold target: configured rate * factor + slack. */
   readonly coldMultiplier: number;
-  /** Requests a second beyond that. */
+  /** Constant term of a cold target's rate limit, requests per second. */
   readonly coldSlack: number;
 }
 
-/** What the choice of a target depends on beside the pool itself. */
+/** Inputs of a target choice beside the state of the pool. */
 export interface ChoiceInput {
   readonly service: SiteService;
   readonly records: readonly TargetRecord[];
   readonly zonesOut: ReadonlySet<string>;
   readonly ownZone: string;
   readonly activeNodes: number;
-  /** Targets that this request has been sent to. */
+  /** Targets that this request was already sent to. */
   readonly tried: ReadonlySet<string>;
   readonly nowMs: number;
 }
 
-/** One service at one gateway. */
+/** Admission, health and load of one service at one gateway. */
 export class ServicePool {
   readonly queue = new AdmissionQueue();
-  readonly budget: WindowBudget;
+  readonly retryBudget: WindowBudget;
   readonly streams = new StreamsByGroup();
-  readonly retries = new RetryTiming();
+  readonly retryTiming = new RetryTiming();
   private readonly health = new Map<string, TargetHealth>();
-  private readonly windows = new Map<string, RateWindow>();
-  private readonly own = new Map<string, number>();
+  private readonly rateWindows = new Map<string, RateWindow>();
+  private readonly ownInFlight = new Map<string, number>();
   private permits: Readonly<Record<string, number>> = {};
   private arrivals = 0;
-  private bound: string | undefined;
+  private lastBoundBy: string | undefined;
 
   constructor(
     private readonly service: string,
     private readonly bounds: PoolBounds
   ) {
-    this.budget = new WindowBudget(bounds.retries);
+    this.retryBudget = new WindowBudget(bounds.retries);
     this.queue.setLimit(INITIAL_CONCURRENCY);
   }
 
-  /** Takes over what the leader granted. */
-  grant(grant: ServiceGrant): void {
+  /** Applies the leader's grant. */
+  applyGrant(grant: ServiceGrant): void {
     const {concurrency, free, permits} = grant;
-    this.bound = grant.boundBy;
+    this.lastBoundBy = grant.boundBy;
     this.permits = permits ?? this.permits;
     this.queue.setLimit(concurrency, free);
   }
 
-  /** What bounds the requests of the service, as the leader told last. */
+  /** What limits the concurrency of the service, from the last grant. */
   get boundBy(): string | undefined {
-    return this.bound;
+    return this.lastBoundBy;
   }
 
   noteArrival(): void {
     this.arrivals++;
   }
 
-  note(targetId: string, sign: AttemptSign, nowMs: number): void {
+  noteAttempt(targetId: string, sign: AttemptSign, nowMs: number): void {
     this.healthOf(targetId).note(sign, nowMs);
   }
 
-  /** Counts a send; to be undone by `done`. */
+  /** Counts a request in flight at the target until `done` is called. */
   begin(targetId: string, nowMs: number): void {
-    this.own.set(targetId, (this.own.get(targetId) ?? 0) + 1);
-    this.windowOf(targetId).add(nowMs);
+    this.ownInFlight.set(targetId, (this.ownInFlight.get(targetId) ?? 0) + 1);
+    this.rateWindowOf(targetId).add(nowMs);
   }
 
   done(targetId: string): void {
-    const left = (this.own.get(targetId) ?? 1) - 1;
-    if (left > 0) this.own.set(targetId, left);
-    else this.own.delete(targetId);
+    const left = (this.ownInFlight.get(targetId) ?? 1) - 1;
+    if (left > 0) this.ownInFlight.set(targetId, left);
+    else this.ownInFlight.delete(targetId);
   }
 
-  /** Report to the leader; arrivals are counted from here anew. */
+  /** Load for the report to the leader; resets the arrival counter. */
   takeLoad(): ServiceLoad {
     const {arrivals} = this;
     this.arrivals = 0;
@@ -106,14 +106,14 @@
       inFlight: this.queue.inFlight,
       waiting: this.queue.waitingCount,
       arrivals,
-      byTarget: Object.fromEntries(this.own),
+      byTarget: Object.fromEntries(this.ownInFlight),
       pacesMs: this.streams.pacesMs(performance.now()),
     };
   }
 
-  /** Length of a pass of a group; 0 when no stream runs. */
-  paceMs(group: string, nowMs: number): number {
-    return this.streams.paceMs(group, nowMs);
+  /** Pass duration of a group; 0 when no stream runs. */
+  passDurationMs(group: string, nowMs: number): number {
+    return this.streams.passDurationMs(group, nowMs);
   }
 
   gauge(): PoolGauge {
@@ -129,8 +129,11 @@
     };
   }
 
-  /** Targets that may take work at all, whatever their load. */
-  usable(input: ChoiceInput): readonly TargetRecord[] {
+  /**
+   * Targets that may receive requests, whatever their load: ready, in a zone
+   * that is in service, in an open group, and not stalled.
+   */
+  usableTargets(input: ChoiceInput): readonly TargetRecord[] {
     const openings = groupOpenings(input.records);
     return input.records.filter(
       record =>
@@ -142,24 +145,24 @@
     );
   }
 
-  /** Whether all groups stand still, as the streams of this node show. */
+  /** Whether the streams of this node show that all groups are stalled. */
   isStalled(nowMs: number): boolean {
-    return this.streams.areAllStalled(nowMs);
+    return this.streams.areAllGroupsStalled(nowMs);
   }
 
-  /** Whether the whole service stands still, as far as known. */
-  isOut(input: ChoiceInput): boolean {
-    return this.usable(input).length === 0;
+  /** Whether the service has no usable target at all. */
+  hasNoUsableTarget(input: ChoiceInput): boolean {
+    return this.usableTargets(input).length === 0;
   }
 
-  /** The target for one send; undefined when none can take it now. */
+  /** The target of the next attempt; undefined when none can take it now. */
   choose(input: ChoiceInput): TargetRecord | undefined {
     const {nowMs, tried, ownZone} = input;
-    const records = this.usable(input).filter(
+    const records = this.usableTargets(input).filter(
       ({id, slots}) =>
         !tried.has(id) &&
         !this.healthOf(id).isPaused(nowMs) &&
-        this.withinRate(id, slots, input)
+        this.isWithinRate(id, slots, input)
     );
     const options = records.map(record => this.optionOf(record, ownZone));
     const chosen = chooseTarget(options, Math.random);
@@ -174,7 +177,7 @@
     return {
       id,
       slots,
-      own: this.own.get(id) ?? 0,
+      own: this.ownInFlight.get(id) ?? 0,
       permits: this.permits[id] ?? 0,
       isNear: availabilityZone === ownZone,
       failureRate,
@@ -182,17 +185,17 @@
     };
   }
 
-  /** Drops what is kept of targets that are no more. */
-  forget(records: readonly TargetRecord[]): void {
+  /** Evicts the state of targets and groups that are not in `records`. */
+  retainTargets(records: readonly TargetRecord[]): void {
     const known = new Set(records.map(({id}) => id));
     this.streams.retain(new Set(records.map(groupNameOf)));
     for (const id of this.health.keys())
       if (!known.has(id)) this.health.delete(id);
-    for (const id of this.windows.keys())
-      if (!known.has(id)) this.windows.delete(id);
+    for (const id of this.rateWindows.keys())
+      if (!known.has(id)) this.rateWindows.delete(id);
   }
 
-  private withinRate(id: string, slots: number, input: ChoiceInput): boolean {
+  private isWithinRate(id: string, slots: number, input: ChoiceInput): boolean {
     const {coldRequestsPerSecond} = input.service;
     if (coldRequestsPerSecond === 0) return true;
     const {coldMultiplier, coldSlack, nodeId} = this.bounds;
@@ -204,7 +207,7 @@
       permits: this.permits[id] ?? 0,
       capacity: slots,
     });
-    return this.windowOf(id).allows(input.nowMs, rate);
+    return this.rateWindowOf(id).allows(input.nowMs, rate);
   }
 
   private healthOf(id: string): TargetHealth {
@@ -216,11 +219,11 @@
     return health;
   }
 
-  private windowOf(id: string): RateWindow {
-    let window = this.windows.get(id);
+  private rateWindowOf(id: string): RateWindow {
+    let window = this.rateWindows.get(id);
     if (window === undefined) {
       window = new RateWindow();
-      this.windows.set(id, window);
+      this.rateWindows.set(id, window);
     }
     return window;
   }
--- a/src/gateway/stopRefusal.ts
+++ b/src/gateway/stopRefusal.ts
@@ -1,15 +1,18 @@
-/** What a request that was given up is answered. */
+/** Refusal of a request that was cancelled before its response began. */
 
 import type {GatewayRefusal} from '../ports/callerPort';
 import type {RequestState} from './requestState';
 
-/** Least time after which to come back; less would only be refused again. */
-export const MIN_RETRY_MS = 150;
+/**
+ * Retry-After when the deadline passed before any target may have run the
+ * request. An earlier retry would only be refused again.
+ */
+export const EXPIRED_RETRY_MS = 150;
 
-/** The answer; none when nobody is there for it. */
+/** The refusal; undefined unless the deadline passed, as the caller is gone. */
 export function stopRefusal(state: RequestState): GatewayRefusal | undefined {
   if (state.stopped !== 'timedOut') return undefined;
   return state.mayHaveRun
     ? {kind: 'timedOut'}
-    : {kind: 'overloaded', retryInMs: MIN_RETRY_MS};
+    : {kind: 'overloaded', retryInMs: EXPIRED_RETRY_MS};
 }
--- a/src/node/nodeProcess.ts
+++ b/src/node/nodeProcess.ts
@@ -1,7 +1,8 @@
 /**
- * A node: the gateway that callers reach, the address for targets and
- * operators, and, with a disk, an instance of the log. One process, since both
- * share what they know, and each process costs its memory on every machine.
+ * A node: the gateway for callers, the control address for targets and
+ * operators, and, with a disk, a replica of the log. It is one process, because
+ * these parts share their state, and a second process would cost memory on
+ * every machine.
  */
 
 import http from 'node:http';
@@ -22,7 +23,7 @@
 import {ControlServer} from './controlServer';
 import {serveMetrics} from './metricsServer';
 
-/** The interface of one platform. */
+/** Codecs for the interfaces of one platform. */
 export interface PlatformCodecs {
   readonly callers: CallerCodec;
   readonly targets: TargetCodec;
@@ -30,28 +31,29 @@
   readonly ranks: RankCodec;
 }
 
-/** What a node is started with. */
+/** Dependencies and settings of a node. */
 export interface NodeParts {
   readonly settings: NodeSettings;
   readonly codecs: PlatformCodecs;
   readonly logger: Logger;
-  /** Log lines that nobody read in time, since the start. */
+  /** Log lines dropped since the start because the output was read too slowly. */
   droppedLines(): number;
 }
 
 /**
- * Callers are still led here until two looks at the readiness, a second apart,
- * have failed.
+ * The platform sends callers to other nodes only after two readiness probes, a
+ * second apart, have failed.
  */
-const REBALANCE_MS = 3_000;
-/** Left of the grace for the end itself. */
+const READINESS_PROPAGATION_MS = 3_000;
+/** Part of the grace period that is kept for the shutdown after the drain. */
 const SHUTDOWN_RESERVE_MS = 600;
 const MS_PER_S = 1_000;
 /**
- * Orders follow each other by answers; this is for what is resent or due. A
- * switch waits for a tick three times, while the group works at half its pace.
+ * Most orders to ranks follow directly from a reply; the tick covers those that
+ * are resent or become due. A map switch waits for a tick three times, while
+ * the group runs at half its speed.
  */
-const DIRECTOR_TICK_MS = 20;
+const RANK_DIRECTOR_INTERVAL_MS = 20;
 
 /** A running node. */
 export class NodeProcess {
@@ -96,32 +98,33 @@
     const control = new ControlServer({node, codec: codecs.control, logger});
     const readyServer = http.createServer();
     const running = new NodeProcess(parts, node, callers, control, readyServer);
-    running.watch(metrics, gateway);
+    running.registerGauges(metrics, gateway);
     if (listen.metrics !== undefined)
       running.metricsServer = await serveMetrics(metrics, listen.metrics);
-    readyServer.on('request', (req, res) => running.tellReady(req, res));
+    readyServer.on('request', (req, res) => running.serveReady(req, res));
     await callers.listen(listen.callers);
     await control.listen(listen.control);
     await new Promise<void>((resolve, reject) => {
       readyServer.once('error', reject);
       readyServer.listen(listen.ready.port, listen.ready.host, resolve);
     });
-    // Callers may reach other nodes only: then their reports tell the pace.
-    const paceMs = (service: string, group: string) =>
-      gateway.pool(service).paceMs(group, performance.now()) ||
+    // Without streams at this node, the pass duration comes from the reports of
+    // the other nodes.
+    const passDurationMs = (service: string, group: string) =>
+      gateway.pool(service).passDurationMs(group, performance.now()) ||
       running.node.paceMs(service, group);
     const director = new RankDirector(
       node,
       codecs.ranks,
       logger,
       metrics,
-      paceMs
+      passDurationMs
     );
     node.useOutlook((service, group) =>
       director.outlook(service, group, performance.now())
     );
     running.subscription.add(
-      interval(DIRECTOR_TICK_MS).subscribe(() =>
+      interval(RANK_DIRECTOR_INTERVAL_MS).subscribe(() =>
         director.tick(performance.now())
       )
     );
@@ -129,23 +132,24 @@
     return running;
   }
 
-  /** Takes over what may change while it runs. */
+  /** Applies the settings that may change at run time: the seeds. */
   reload(settings: NodeSettings): void {
     this.node.setSeeds(settings.cluster.seeds);
   }
 
   /**
-   * First nothing new is led here, then what still comes is turned away, then
-   * what is in work ends; the lead goes to another node at once.
+   * Fails the readiness probes until callers are sent elsewhere, then refuses new
+   * requests and waits for those in progress. A leader then hands leadership over
+   * at once.
    */
   async drain(): Promise<void> {
     const graceMs = this.parts.settings.bounds.graceS * MS_PER_S;
     this.ready = false;
     this.callers.beginDrain();
-    await wait(Math.min(REBALANCE_MS, graceMs / 2));
-    this.callers.turnAway();
-    const leftMs = graceMs - REBALANCE_MS - SHUTDOWN_RESERVE_MS;
-    await this.callers.idle(Math.max(0, leftMs));
+    await delay(Math.min(READINESS_PROPAGATION_MS, graceMs / 2));
+    this.callers.refuseNewRequests();
+    const leftMs = graceMs - READINESS_PROPAGATION_MS - SHUTDOWN_RESERVE_MS;
+    await this.callers.waitUntilIdle(Math.max(0, leftMs));
     this.callers.close();
     this.control.close();
     this.readyServer.close();
@@ -154,7 +158,7 @@
     await this.node.stop();
   }
 
-  private watch(metrics: NodeMetrics, gateway: Gateway): void {
+  private registerGauges(metrics: NodeMetrics, gateway: Gateway): void {
     const {node} = this;
     metrics.watch({
       leads: () => Number(node.leads),
@@ -165,11 +169,14 @@
     });
   }
 
-  /** Ready means: a request that comes now can be routed. */
-  private tellReady(req: http.IncomingMessage, res: http.ServerResponse): void {
-    const isKnown = req.url === this.parts.codecs.control.readinessPath;
+  /** Ready means that a request can be routed now. */
+  private serveReady(
+    req: http.IncomingMessage,
+    res: http.ServerResponse
+  ): void {
+    const isReadinessPath = req.url === this.parts.codecs.control.readinessPath;
     const isReady = this.ready && this.node.view.index !== undefined;
-    res.statusCode = !isKnown ? 404 : isReady ? 200 : 503;
+    res.statusCode = !isReadinessPath ? 404 : isReady ? 200 : 503;
     res.end();
   }
 }
@@ -206,6 +213,6 @@
   });
 }
 
-function wait(ms: number): Promise<void> {
+function delay(ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms));
 }
--- a/src/ports/callerPort.ts
+++ b/src/ports/callerPort.ts
@@ -1,54 +1,55 @@
-/** How callers speak to a gateway; another interface is another codec. */
+/** Interface between callers and a gateway; each platform implements the codec. */
 
 import type {IncomingMessage} from 'node:http';
 
-/** What a caller's request says beside its body. */
+/** A caller's request, without its body. */
 export interface CallerRequest {
-  /** Names one attempt of the caller; answers are checked against it. */
+  /** Id of the caller's attempt; a target's response must repeat it. */
   readonly attemptId?: string;
   readonly host: string;
   /** Path without the query. */
   readonly path: string;
   readonly key?: string;
-  /** How long the caller waits, milliseconds. */
+  /** The caller's timeout, milliseconds. */
   readonly waitMs?: number;
-  /** Where a stream is to go on: after this event. */
+  /** Id of the event after which a stream resumes. */
   readonly lastEventId?: string;
-  /** Tokens of the prompt; 0 when not told. */
+  /** Tokens of the prompt; 0 when not given. */
   readonly promptTokens: number;
-  /** Most tokens of the answer; 0 when not told. */
+  /** Maximum number of output tokens; 0 when not given. */
   readonly outputTokens: number;
 }
 
-/** Why a gateway answers itself. */
+/** Why a gateway refuses a request or cannot relay a response to it. */
 export type GatewayRefusal =
+  /** No site is known yet. Nothing has run. */
   | {readonly kind: 'noSite'; readonly retryInMs: number}
   | {readonly kind: 'unknownRoute'}
   | {readonly kind: 'unknownKey'}
   | {readonly kind: 'badRequest'; readonly detail: string}
   | {readonly kind: 'bodyTooLarge'}
-  /** No place in time. Nothing has run. */
+  /** No slot was free in time. Nothing has run. */
   | {readonly kind: 'overloaded'; readonly retryInMs: number}
   /** No target can take it now. Nothing has run. */
   | {readonly kind: 'noTarget'; readonly retryInMs: number}
-  /** Targets refused it before it ran. */
+  /** All targets that were tried refused it. Nothing has run. */
   | {readonly kind: 'turnedAway'; readonly retryInMs: number}
-  /** This gateway stops. Nothing has run. */
+  /** This gateway is stopping. Nothing has run. */
   | {readonly kind: 'stopping'; readonly retryInMs: number}
-  /** It may have run; its answer is lost. */
+  /** It may have run; no complete response arrived. */
   | {readonly kind: 'outcomeUnknown'}
-  /** It may have run; its time is over. */
+  /** It may have run; its deadline has passed. */
   | {readonly kind: 'timedOut'};
 
-/** A whole answer of our own. */
-export interface OwnAnswer {
+/** A complete response that the gateway sends itself. */
+export interface RefusalResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
 }
 
-/** Names and formats towards callers. */
+/** Header names and body formats of the caller interface. */
 export interface CallerCodec {
   read(req: IncomingMessage): CallerRequest;
-  refuse(refusal: GatewayRefusal): OwnAnswer;
+  refuse(refusal: GatewayRefusal): RefusalResponse;
 }
--- a/src/ports/targetPort.ts
+++ b/src/ports/targetPort.ts
@@ -1,40 +1,40 @@
-/** How a gateway speaks to targets that stand on their own. */
+/** Interface between a gateway and the targets that it calls without an agent. */
 
 import type {IncomingMessage} from 'node:http';
 
-/** What a forwarded request is to say beside what the caller sent. */
-export interface ForwardFacts {
-  /** Time that is left, milliseconds. */
+/** Data that the gateway adds to a forwarded request. */
+export interface ForwardContext {
+  /** Time until the deadline, milliseconds. */
   readonly remainingMs: number;
-  /** Only this target may run it. */
+  /** The only target that may run it. */
   readonly targetId: string;
   readonly customer?: string;
-  /** Where a stream is to go on; the caller's own wish when absent. */
+  /** Event after which a stream resumes; if absent, the caller's header stays. */
   readonly lastEventId?: string;
 }
 
-/** Head of a target's answer. */
+/** Status and headers of a target's response. */
 export interface TargetHead {
   readonly status: number;
-  /** Attempt that it answers; absent when it does not say. */
+  /** Attempt that the response belongs to; absent when it names none. */
   readonly attemptId?: string;
   /** The target states that it did not run the request. */
   readonly notRun: boolean;
-  /** Whether it bears the target's proof. */
+  /** Whether it carries the target's seal, which proves its origin. */
   readonly isSealed: boolean;
   readonly isStream: boolean;
-  /** Whether the body is as the caller asked for it, without an encoding. */
+  /** Whether the body has no content encoding. */
   readonly isPlainBody: boolean;
 }
 
-/** Names and formats towards targets. */
+/** Header names of the target interface. */
 export interface TargetCodec {
-  /** Raw header list of a forwarded request, from that of the caller. */
+  /** Raw header list of a forwarded request, built from the caller's. */
   forwardHeaders(
     callerHeaders: readonly string[],
-    facts: ForwardFacts
+    context: ForwardContext
   ): string[];
   readHead(res: IncomingMessage): TargetHead;
   /** Raw header list for the caller. */
-  answerHeaders(res: IncomingMessage): string[];
+  responseHeaders(res: IncomingMessage): string[];
 }
--- a/tests/platform/gateway.spec.ts
+++ b/tests/platform/gateway.spec.ts
@@ -32,17 +32,17 @@
   };
 }
 
-describe('gateway before targets that stand on their own', () => {
+describe('gateway and targets without an agent', () => {
   let fixture: GatewayFixture;
   afterEach(() => fixture.close());
 
-  it('should pass on the answer, its status and its proof', async () => {
+  it('should relay the response with its status and its seal', async () => {
     fixture = await GatewayFixture.start([OK]);
     const answer = await fixture.call('/once/x');
     expect(answer).toMatchObject({status: 200, body: 'answer', isWhole: true});
     expect(answer.headers['x-response-seal']).toBe('seal-0');
-    expect(fixture.seen[0]?.headers['x-tenant-name']).toBe('one');
-    expect(fixture.seen[0]?.headers.authorization).toBeUndefined();
+    expect(fixture.receivedRequests[0]?.headers['x-tenant-name']).toBe('one');
+    expect(fixture.receivedRequests[0]?.headers.authorization).toBeUndefined();
   });
 
   it('should refuse an unknown key and an unknown path', async () => {
@@ -50,59 +50,59 @@
     const wrong = await fixture.call('/once/x', {authorization: 'Bearer no'});
     expect(wrong.status).toBe(401);
     expect((await fixture.call('/nowhere')).status).toBe(404);
-    expect(fixture.seen).toHaveLength(0);
+    expect(fixture.receivedRequests).toHaveLength(0);
   });
 
-  // The target reads the request and the connection ends: it may have run. A
-  // second send could record an award twice, so the caller learns that the
-  // outcome is not known, and nobody sends it again.
-  it('should never send a call twice whose answer was lost', async () => {
+  // The target reads the request and closes the connection: the request may have
+  // run. A retry could record an award twice, so there is none, and the caller is
+  // told that the outcome is unknown.
+  it('should not retry a non-idempotent request whose response was lost', async () => {
     fixture = await GatewayFixture.start([RESET, RESET]);
     const answer = await fixture.call('/once/x');
     expect(answer.status).toBe(502);
-    expect(fixture.seen).toHaveLength(1);
+    expect(fixture.receivedRequests).toHaveLength(1);
   });
 
-  // The target says that it did not run it: another may, even a call that must
-  // not run twice.
-  it('should send a call on after a target did not run it', async () => {
+  // The target states that it did not run the request, so another target may run
+  // it, even if it must not run twice.
+  it('should retry a request that a target did not run', async () => {
     fixture = await GatewayFixture.start([FULL, OK]);
     for (let i = 0; i < 6; i++)
       expect((await fixture.call('/once/x')).status).toBe(200);
   });
 
-  it('should promise that nothing ran when no target ran it', async () => {
+  it('should respond with 503 when no target ran the request', async () => {
     fixture = await GatewayFixture.start([FULL, FULL]);
     const answer = await fixture.call('/once/x');
     expect(answer.status).toBe(503);
     expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
   });
 
-  // Nobody listens at the first target: no byte was sent, so it cannot have
-  // run, and the try does not count among those that the route allows.
-  it('should pass over a target that it cannot reach', async () => {
+  // Nobody listens at the first target. No byte was sent, so the request cannot
+  // have run, and the attempt does not count towards `maxAttempts`.
+  it('should skip a target that it cannot connect to', async () => {
     fixture = await GatewayFixture.start([OK], {maxAttempts: 1});
-    fixture.addDeadTarget();
+    fixture.addUnreachableTarget();
     for (let i = 0; i < 6; i++)
       expect((await fixture.call('/once/x')).status).toBe(200);
   });
 
-  it('should send an idempotent call on after a failure', async () => {
+  it('should retry an idempotent request after a server error', async () => {
     fixture = await GatewayFixture.start([FAILS, OK]);
     for (let i = 0; i < 4; i++)
       expect((await fixture.call('/idempotent/x')).status).toBe(200);
   });
 
-  it('should pass on the failure itself when all targets fail', async () => {
+  it('should relay the last error response when all targets fail', async () => {
     fixture = await GatewayFixture.start([FAILS, FAILS]);
     const answer = await fixture.call('/idempotent/x');
     expect(answer).toMatchObject({status: 500, body: 'fault'});
-    expect(fixture.seen).toHaveLength(2);
+    expect(fixture.receivedRequests).toHaveLength(2);
   });
 
-  // An answer meant for another request comes on this connection. It must not
-  // reach this caller, whatever it says.
-  it('should not pass on the answer to another request', async () => {
+  // A response to another request arrives on this connection. It must not reach
+  // this caller.
+  it('should not relay the response to another request', async () => {
     const stray: Handler = (_req, res) => {
       res.setHeader('x-attempt-id', 'another');
       res.end('not yours');
@@ -113,9 +113,9 @@
     expect(answer.body).not.toContain('not yours');
   });
 
-  // The target breaks off in the middle of its body: what came must not look
-  // like a whole answer.
-  it('should not pass on an answer that was cut off', async () => {
+  // The target closes the connection in the middle of the body. The truncated
+  // body must not reach the caller as a complete response.
+  it('should not relay a truncated response', async () => {
     const cut: Handler = (req, res) => {
       res.writeHead(200, {'content-length': '100'});
       res.write('half', () => req.socket.destroy());
@@ -124,9 +124,9 @@
     expect((await fixture.call('/once/x')).status).toBe(502);
   });
 
-  // An answer without a length ends with its connection, and may have been cut
-  // off. A length of ours would state that it is whole.
-  it('should give an answer without a length no length of its own', async () => {
+  // A response without a length ends when its connection closes, so it may be
+  // truncated. A length added by the gateway would declare it complete.
+  it('should add no length to a response without one', async () => {
     const bare: Handler = req => {
       const id = String(req.headers['x-attempt-id']);
       const head = `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\nConnection: close\r\n\r\n`;
@@ -139,9 +139,9 @@
     expect(answer.headers['transfer-encoding']).toBeUndefined();
   });
 
-  // The target hangs: the caller gets its answer at the route's time limit, and
-  // learns that it may have run.
-  it('should end a call at its time limit', async () => {
+  // The target hangs. At the route's timeout the caller gets a 504, which leaves
+  // open whether the request ran.
+  it('should end a request at its timeout', async () => {
     const hangs: Handler = () => undefined;
     fixture = await GatewayFixture.start([hangs], {timeoutMs: 150});
     expect((await fixture.call('/once/x')).status).toBe(504);
@@ -154,24 +154,27 @@
 
   const WHOLE = [1, 2, 3, 4, 5].map(event).join('');
 
-  it('should pass on all events as they came', async () => {
+  it('should relay all events unchanged', async () => {
     fixture = await GatewayFixture.start([events(5)]);
     const answer = await fixture.call('/stream/x');
     expect(answer).toMatchObject({status: 200, body: WHOLE, isWhole: true});
   });
 
-  // The first target dies in the middle of its third event. The caller sees one
-  // stream: each event once, in order, with the head of the first target.
-  it('should go on at another target after the last whole event', async () => {
+  // Both targets break off in the middle of their third event. The second one is
+  // asked to resume after event 2, and the caller gets no event twice.
+  it('should resume at another target after the last whole event', async () => {
     fixture = await GatewayFixture.start([events(5, 2), events(5, 2)]);
     const answer = await fixture.call('/stream/x');
-    const heads = fixture.seen.map(({headers}) => headers['last-event-id']);
+    const heads = fixture.receivedRequests.map(
+      ({headers}) => headers['last-event-id']
+    );
     expect(heads).toEqual([undefined, '2']);
     expect(answer.body).toBe(event(1) + event(2));
     expect(answer.isWhole).toBe(false);
   });
 
-  it('should complete a stream that one target broke off', async () => {
+  // The seal shows that the caller gets the headers of the first target.
+  it('should complete a stream that the first target broke off', async () => {
     let calls = 0;
     const first = events(5, 2);
     const then = events(5);
@@ -181,13 +184,13 @@
     const answer = await fixture.call('/stream/x');
     expect(answer).toMatchObject({status: 200, body: WHOLE, isWhole: true});
     expect(answer.headers['x-response-seal']).toBe(
-      `seal-${fixture.seen[0]?.target}`
+      `seal-${fixture.receivedRequests[0]?.target}`
     );
   });
 
-  // The second target goes on at the wrong place. The caller would get a piece
-  // twice or miss one: the stream ends visibly cut instead.
-  it('should not join pieces that do not follow each other', async () => {
+  // The second target resumes from the wrong event, so the caller would miss
+  // events or get them twice. The stream is aborted instead.
+  it('should not join streams whose event ids are not consecutive', async () => {
     let calls = 0;
     const first = events(5, 2);
     const wrong: Handler = (_req, res) => {
@@ -208,6 +211,6 @@
     });
     const answer = await fixture.call('/stream/x');
     expect(answer.isWhole).toBe(false);
-    expect(fixture.seen).toHaveLength(1);
+    expect(fixture.receivedRequests).toHaveLength(1);
   });
 });
--- a/tests/platform/gatewayFixture.ts
+++ b/tests/platform/gatewayFixture.ts
@@ -1,4 +1,4 @@
-/** A gateway before fake targets, all in this process, on loopback. */
+/** A gateway with fake targets, all in this process, on loopback. */
 
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -12,27 +12,28 @@
 import {SiteIndex} from '../../src/site/siteIndex';
 import type {Repeat, SiteRoute} from '../../src/site/site';
 
-const SILENT = {
+const SILENT_LOGGER = {
   trace: () => undefined,
   debug: () => undefined,
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
   fatal: () => undefined,
-  child: () => SILENT,
+  child: () => SILENT_LOGGER,
 } as never;
 
-/** How a fake target answers one request. */
+/** Handles one request at a fake target. */
 export type Handler = (
   req: http.IncomingMessage,
   res: http.ServerResponse
 ) => void;
 
-export interface Answer {
+/** A response as the caller received it. */
+export interface CallerResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether it ended as its framing said. */
+  /** Whether it was complete by its own framing. */
   readonly isWhole: boolean;
 }
 
@@ -44,7 +45,7 @@
   );
 }
 
-function route(repeat: Repeat, change: Partial<SiteRoute>): SiteRoute {
+function route(repeat: Repeat, overrides: Partial<SiteRoute>): SiteRoute {
   return {
     name: repeat,
     host: 'a.example',
@@ -58,13 +59,16 @@
     split: [{service: 's', weight: 1}],
     maxAttempts: 2,
     isPublic: false,
-    ...change,
+    ...overrides,
   };
 }
 
-/** One gateway with its targets. */
+/** One gateway and its targets. */
 export class GatewayFixture {
-  readonly seen: {target: number; headers: http.IncomingHttpHeaders}[] = [];
+  readonly receivedRequests: {
+    target: number;
+    headers: http.IncomingHttpHeaders;
+  }[] = [];
   readonly table = new TargetTable();
   private readonly servers: http.Server[] = [];
   private port = 0;
@@ -72,17 +76,17 @@
 
   static async start(
     handlers: readonly Handler[],
-    change: Partial<SiteRoute> = {}
+    routeOverrides: Partial<SiteRoute> = {}
   ): Promise<GatewayFixture> {
     const fixture = new GatewayFixture();
     for (const [target, handler] of handlers.entries())
       await fixture.addTarget(target, handler);
-    await fixture.startGateway(change);
+    await fixture.startGateway(routeOverrides);
     return fixture;
   }
 
-  /** A target that nobody listens for. */
-  addDeadTarget(): void {
+  /** Announces a target at whose address nobody listens. */
+  addUnreachableTarget(): void {
     this.announce('dead', '127.0.0.1:1');
   }
 
@@ -93,11 +97,11 @@
     }
   }
 
-  /** Sends as a caller does; `key` undefined sends none. */
+  /** Sends a POST request as a caller; `headers` override those sent by default. */
   call(
     path: string,
     headers: Readonly<Record<string, string>> = {}
-  ): Promise<Answer> {
+  ): Promise<CallerResponse> {
     return new Promise((resolve, reject) => {
       const req = http.request(
         {
@@ -134,7 +138,7 @@
 
   private async addTarget(target: number, handler: Handler): Promise<void> {
     const server = http.createServer((req, res) => {
-      this.seen.push({target, headers: req.headers});
+      this.receivedRequests.push({target, headers: req.headers});
       req.resume();
       res.setHeader('x-attempt-id', req.headers['x-attempt-id'] ?? '');
       res.setHeader('x-response-seal', `seal-${target}`);
@@ -161,13 +165,15 @@
     );
   }
 
-  private async startGateway(change: Partial<SiteRoute>): Promise<void> {
+  private async startGateway(
+    routeOverrides: Partial<SiteRoute>
+  ): Promise<void> {
     const index = new SiteIndex({
       version: 1,
       routes: [
-        route('idempotent', change),
-        route('once', change),
-        route('stream', change),
+        route('idempotent', routeOverrides),
+        route('once', routeOverrides),
+        route('stream', routeOverrides),
       ],
       services: new Map([
         [
@@ -211,7 +217,7 @@
         coldSlack: 5,
       },
       availabilityZone: 'a',
-      logger: SILENT,
+      logger: SILENT_LOGGER,
       metrics: new NodeMetrics(),
       node: () => node,
     });
--- a/tests/platform/requestHeaders.spec.ts
+++ b/tests/platform/requestHeaders.spec.ts
@@ -10,7 +10,7 @@
 }
 
 describe('headers of callers', () => {
-  it('should read what a stream request says', () => {
+  it('should read the headers of a stream request', () => {
     const req = message(
       {
         host: 'a.example',
@@ -35,14 +35,14 @@
   });
 
   it.each(['', 'soon', '-5', 'NaN'])(
-    'should take a deadline of "%s" for none',
+    'should ignore a deadline of "%s"',
     text => {
       const req = message({'x-deadline-remaining': text}, {url: '/'});
       expect(CALLER_CODEC.read(req).waitMs).toBeUndefined();
     }
   );
 
-  // 429 and 503 promise that nothing has run; a lost outcome must not.
+  // 429 and 503 promise that nothing has run, so an unknown outcome is a 502.
   it.each([
     [{kind: 'overloaded', retryInMs: 1_250}, 503, '1.250'],
     [{kind: 'noTarget', retryInMs: 400}, 503, '0.400'],
@@ -50,7 +50,7 @@
     [{kind: 'timedOut'}, 504, undefined],
     [{kind: 'unknownKey'}, 401, undefined],
     [{kind: 'unknownRoute'}, 404, undefined],
-  ] as const)('should answer %j with %i', (refusal, status, retryAfter) => {
+  ] as const)('should respond to %j with %i', (refusal, status, retryAfter) => {
     const answer = CALLER_CODEC.refuse(refusal);
     expect(answer.status).toBe(status);
     expect(answer.headers['retry-after']).toBe(retryAfter);
@@ -58,8 +58,8 @@
 });
 
 describe('headers of targets', () => {
-  // A caller that names itself, or its target, must not get its way.
-  it('should set the customer and the target itself, and hide the key', () => {
+  // A caller must not choose its customer name or its target by its own headers.
+  it('should replace the customer and the target, and remove the key', () => {
     const sent = TARGET_CODEC.forwardHeaders(
       [
         ['Host', 'a.example'],
@@ -84,7 +84,7 @@
     });
   });
 
-  it('should not pass on a customer where the route asks for no key', () => {
+  it('should remove the customer name where the route requires no key', () => {
     const sent = TARGET_CODEC.forwardHeaders(['X-Tenant-Name', 'other'], {
       remainingMs: 10,
       targetId: 'i-1',
--- a/tests/servicePool.spec.ts
+++ b/tests/servicePool.spec.ts
@@ -24,7 +24,7 @@
   };
 }
 
-function fixture() {
+function createPool() {
   const pool = new ServicePool('s', {
     nodeId: 'n',
     retries: {ratio: 0.2, slack: 10, windowMs: 10_000},
@@ -44,32 +44,32 @@
   return {pool, choose};
 }
 
-describe('choice among groups of ranks', () => {
-  const both = [target('slow', 'g'), target('well', 'h')];
+describe('target choice among groups of ranks', () => {
+  const targets = [target('slow', 'g'), target('healthy', 'h')];
 
-  // A rank is lost, and its group stands still until that is noticed. Streams of
-  // the other group go on, so that the service as a whole does not look stalled.
-  it('should send nothing to a group that stands still', () => {
-    const {pool, choose} = fixture();
-    const {stalls} = pool.streams.of('g');
-    stalls.opened();
-    stalls.opened();
-    stalls.noteEvent(0);
-    pool.streams.of('h').stalls.opened();
-    for (let i = 0; i < 6; i++) pool.begin('well', 0);
-    expect(choose(both)).toBe('well');
+  // After the loss of a rank, its group stalls until the loss is detected.
+  // Streams of the other group continue, so the service itself is not stalled.
+  it('should send nothing to a stalled group', () => {
+    const {pool, choose} = createPool();
+    const {stallWatch} = pool.streams.forGroup('g');
+    stallWatch.opened();
+    stallWatch.opened();
+    stallWatch.noteEvent(0);
+    pool.streams.forGroup('h').stallWatch.opened();
+    for (let i = 0; i < 6; i++) pool.begin('healthy', 0);
+    expect(choose(targets)).toBe('healthy');
     expect(pool.isStalled(1_000)).toBe(false);
   });
 
-  it('should tell that all groups stand still', () => {
-    const {pool, choose} = fixture();
+  it('should detect that all groups are stalled', () => {
+    const {pool, choose} = createPool();
     for (const group of ['g', 'h']) {
-      const {stalls} = pool.streams.of(group);
-      stalls.opened();
-      stalls.opened();
-      stalls.noteEvent(0);
+      const {stallWatch} = pool.streams.forGroup(group);
+      stallWatch.opened();
+      stallWatch.opened();
+      stallWatch.noteEvent(0);
     }
     expect(pool.isStalled(1_000)).toBe(true);
-    expect(choose(both)).toBeUndefined();
+    expect(choose(targets)).toBeUndefined();
   });
 });
