--- a/src/node/controlServer.ts
+++ b/src/node/controlServer.ts
@@ -1,4 +1,4 @@
-/** The control address: announcements of targets and orders of operators. */
+/** HTTP server of the control address: targets announce, operators configure. */
 
 import http from 'node:http';
 import {unreachable} from '../core/errors';
@@ -8,10 +8,10 @@
 import type {ControlCall, ControlCodec} from '../ports/controlPort';
 import {packText} from '../site/packText';
 
-/** The largest document: a few thousand routes. */
+/** Room for a site document with a few thousand routes. */
 const MAX_BODY_BYTES = 16 << 20;
-/** Targets announce themselves more often than that, and keep a connection. */
-const IDLE_MS = 15_000;
+/** Targets announce themselves more often than this and keep their connection. */
+const KEEP_ALIVE_TIMEOUT_MS = 15_000;
 
 interface Reply {
   readonly status: number;
@@ -21,21 +21,21 @@
 const OK: Reply = {status: 200, body: '{}'};
 const UNAVAILABLE: Reply = {status: 503, body: '{"error":"no leader"}'};
 
-/** What the control address needs. */
+/** Dependencies of the control server. */
 export interface ControlServerParts {
   readonly node: ClusterNode;
   readonly codec: ControlCodec;
   readonly logger: Logger;
 }
 
-/** Serves calls at the control address. */
+/** Handles calls at the control address. */
 export class ControlServer {
   private readonly server = http.createServer((req, res) => {
     void this.answer(req, res);
   });
 
   constructor(private readonly parts: ControlServerParts) {
-    this.server.keepAliveTimeout = IDLE_MS;
+    this.server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   }
 
   listen({host, port}: {host: string; port: number}): Promise<void> {
@@ -68,7 +68,10 @@
       });
       res.end(body);
     } catch (err) {
-      logger.warn({event: 'control.failed', call, err: String(err)}, 'failed');
+      logger.warn(
+        {event: 'control.failed', call, err: String(err)},
+        'control call failed'
+      );
       res.destroy();
     }
   }
@@ -79,7 +82,7 @@
         return this.announce(call.id, text);
       case 'leave':
         this.parts.node.hearLeave(call.id);
-        return this.reported();
+        return this.reportToLeader();
       case 'putSite':
         return this.putSite(text);
       case 'getSite':
@@ -92,18 +95,18 @@
   }
 
   /**
-   * A goodbye counts once the leader knows it: from then on no node may send
-   * to the target, and only the leader can tell all of them.
+   * A draining target is confirmed only after the leader knows of it. From then
+   * on no node may send to the target, and only the leader reaches all nodes.
    */
   private async announce(id: string, text: string): Promise<Reply> {
     const {node, codec} = this.parts;
     const announcement = codec.decodeAnnouncement(id, text);
-    if (announcement === undefined) return UNREADABLE;
+    if (announcement === undefined) return INVALID_ANNOUNCEMENT;
     node.hear(announcement);
-    return announcement.state === 'draining' ? this.reported() : OK;
+    return announcement.state === 'draining' ? this.reportToLeader() : OK;
   }
 
-  private async reported(): Promise<Reply> {
+  private async reportToLeader(): Promise<Reply> {
     try {
       await this.parts.node.report();
       return OK;
@@ -149,4 +152,7 @@
 }
 
 const NOT_FOUND: Reply = {status: 404, body: '{"error":"no such call"}'};
-const UNREADABLE: Reply = {status: 400, body: '{"error":"not understood"}'};
+const INVALID_ANNOUNCEMENT: Reply = {
+  status: 400,
+  body: '{"error":"not understood"}',
+};
--- a/src/node/metricsServer.ts
+++ b/src/node/metricsServer.ts
@@ -1,13 +1,13 @@
-/** Serves the metrics of a node as text; nothing else is told here. */
+/** Serves the metrics of a node as text, and nothing else. */
 
 import http from 'node:http';
 import type {NodeMetrics} from '../core/nodeMetrics';
 
-const PATH = '/metrics';
+const METRICS_PATH = '/metrics';
 const OK = 200;
 const NOT_FOUND = 404;
 
-/** Listens on HOST:PORT; resolves once it does. */
+/** Resolves with the server once it listens on HOST:PORT. */
 export function serveMetrics(
   metrics: NodeMetrics,
   {host, port}: {readonly host: string; readonly port: number}
@@ -26,7 +26,7 @@
   req: http.IncomingMessage,
   res: http.ServerResponse
 ): Promise<void> {
-  if (req.url !== PATH) {
+  if (req.url !== METRICS_PATH) {
     res.writeHead(NOT_FOUND).end();
     return;
   }
--- a/src/ports/controlPort.ts
+++ b/src/ports/controlPort.ts
@@ -1,4 +1,4 @@
-/** How targets announce themselves, and operators order. */
+/** Interface through which targets announce themselves and operators configure. */
 
 import type {TargetAnnouncement} from '../site/announcement';
 import type {DecodedSite} from '../site/site';
@@ -15,12 +15,12 @@
       readonly out: boolean;
     };
 
-/** Names and formats of the control address. */
+/** Paths and body formats of the control address. */
 export interface ControlCodec {
   readonly readinessPath: string;
-  /** Undefined for what is no call of this interface. */
+  /** Undefined if the method and URL match no call. */
   readCall(method: string, url: string): ControlCall | undefined;
   decodeSite(text: string): DecodedSite;
-  /** Undefined when it names no target to use. */
+  /** Undefined when the text is not a valid announcement. */
   decodeAnnouncement(id: string, text: string): TargetAnnouncement | undefined;
 }
--- a/src/ports/rankPort.ts
+++ b/src/ports/rankPort.ts
@@ -1,20 +1,21 @@
-/** How the ranks of a model group are read and ordered. */
+/** Interface to the ranks of a model group: reading their state, sending orders. */
 
-/** Experts by set, then by rank. */
+/** An expert map: the experts of each rank, by expert set, then by rank. */
 export type MapLists = readonly (readonly (readonly number[])[])[];
 
 /** State of one rank. */
 export interface RankReport {
-  /** Pass that was begun last. */
+  /** Last pass that was started. */
   readonly pass: number;
-  /** Version of the map in use; 0 is the one that the group starts with. */
+  /** Version of the map in use; 0 is the initial map of the group. */
   readonly mapVersion: number;
-  /** Version whose experts are all there; 0 for none. */
+  /** Version whose experts have all been copied; 0 for none. */
   readonly preparedVersion: number;
+  /** Version that the rank will switch to, and the first pass that uses it. */
   readonly armed?: {readonly version: number; readonly pass: number};
-  /** Pass before which the group waits. */
+  /** Pass before which the group is held. */
   readonly heldPass?: number;
-  /** Times that its work takes as long as usual; 1 for a rank in order. */
+  /** Factor by which its work takes longer than usual; 1 for a healthy rank. */
   readonly slowness: number;
 }
 
@@ -45,9 +46,9 @@
   | {readonly kind: 'hold'; readonly pass: number}
   | {readonly kind: 'go'; readonly pass: number};
 
-/** Who orders, and for which life of the group. */
+/** The leader that sends an order, and the epoch of the group it is meant for. */
 export interface OrderScope {
-  /** Rises with each new leader. */
+  /** Fencing token: increases with each new leader. */
   readonly fence: number;
   readonly epoch: number;
 }
@@ -59,24 +60,24 @@
   readonly body?: string;
 }
 
-/** What the status of an answer to an order says. */
+/** Outcome of an order, from the status of the rank's response. */
 export type OrderAnswer =
-  /** In force, or begun. */
+  /** Applied, or started. */
   | 'done'
-  /** It does not fit the rank's state, and never took effect. */
+  /** Rejected because of the rank's state; it never took effect. */
   | 'refused'
-  /** Another leader has a higher fence. */
+  /** Rejected because of a higher fencing token, from a newer leader. */
   | 'fenced'
-  /** Nothing is known. */
+  /** It may or may not have taken effect. */
   | 'unknown';
 
-/** Names and formats towards ranks. */
+/** Paths and body formats of the rank interface. */
 export interface RankCodec {
   reportCall(): RankCall;
   countsCall(): RankCall;
   mapCall(): RankCall;
   orderCall(order: RankOrder, scope: OrderScope): RankCall;
-  /** Undefined when the text is not understood. */
+  /** The `read` methods return undefined for text that they cannot parse. */
   readReport(text: string): RankReport | undefined;
   readCounts(text: string): ExpertCounts | undefined;
   readMap(text: string): RankMap | undefined;
--- a/tests/platform/controlCalls.spec.ts
+++ b/tests/platform/controlCalls.spec.ts
@@ -1,6 +1,6 @@
 import {CONTROL_CODEC} from '../../platform/controlCalls';
 
-const BEAT = {
+const ANNOUNCEMENT = {
   service: 'llm',
   address: '10.0.0.9:8080',
   zone: 'a',
@@ -37,8 +37,8 @@
     expect(CONTROL_CODEC.readCall(method, url)).toEqual(call);
   });
 
-  it('should decode what a rank of a group tells of itself', () => {
-    const text = JSON.stringify(BEAT);
+  it('should decode the announcement of a rank of a group', () => {
+    const text = JSON.stringify(ANNOUNCEMENT);
     expect(CONTROL_CODEC.decodeAnnouncement('i-1', text)).toEqual({
       id: 'i-1',
       bornMs: 1_700_000_000_000,
@@ -53,17 +53,17 @@
     });
   });
 
-  // Another writer's entries arrive at the same address. They name no target,
-  // and must harm none of the others.
+  // Other senders may write to the same address. Their data names no target and
+  // must not affect the targets that are known.
   it.each([
     ['bytes', '\u0000\u0001'],
     ['nothing', ''],
     ['a list', '[1]'],
     ['null', 'null'],
-    ['a state of its own', JSON.stringify({...BEAT, state: 'resting'})],
-    ['slots as text', JSON.stringify({...BEAT, slots: '8'})],
-    ['no address', JSON.stringify({...BEAT, address: undefined})],
-    ['a start that is not whole', JSON.stringify({...BEAT, born: 1.5})],
+    ['an unknown state', JSON.stringify({...ANNOUNCEMENT, state: 'resting'})],
+    ['slots as text', JSON.stringify({...ANNOUNCEMENT, slots: '8'})],
+    ['no address', JSON.stringify({...ANNOUNCEMENT, address: undefined})],
+    ['a fractional start time', JSON.stringify({...ANNOUNCEMENT, born: 1.5})],
   ])('should ignore an announcement with %s', (_what, text) => {
     expect(CONTROL_CODEC.decodeAnnouncement('i-1', text)).toBeUndefined();
   });
--- a/tests/platform/platformSettings.ts
+++ b/tests/platform/platformSettings.ts
@@ -1,11 +1,11 @@
-/** Settings of a node as the platform fills in the template of `deploy/`. */
+/** Node settings, filled in from the template in `deploy/` as the platform does it. */
 
 import {readFileSync} from 'node:fs';
 import path from 'node:path';
 
 const TEMPLATE = path.join(__dirname, '..', '..', 'deploy', 'node.ini');
 
-/** What the platform tells a process, by the names of its page. */
+/** Example values, by the variable names that the platform's documentation gives. */
 export const PAGE_EXAMPLE = {
   node: 'front-ie-south-a-1',
   zone: 'ie-south-a',
@@ -27,7 +27,7 @@
   'bounds.coldSlack': '5',
 };
 
-/** Fills in the template; a name that the page lacks is nothing. */
+/** Fills in the template; variables without a value become empty. */
 export function renderSettings(
   values: Readonly<Record<string, string>>
 ): string {
--- a/tests/platform/settingsTemplate.spec.ts
+++ b/tests/platform/settingsTemplate.spec.ts
@@ -4,7 +4,7 @@
 import {loadNodeSettings} from '../../src/settings/loadSettings';
 import {PAGE_EXAMPLE, renderSettings} from './platformSettings';
 
-describe('settings that the platform fills in', () => {
+describe('settings template of the platform', () => {
   const dir = mkdtempSync(path.join(tmpdir(), 'marlpulley-settings-'));
   const file = path.join(dir, 'node.ini');
   afterAll(() => rmSync(dir, {recursive: true}));
@@ -14,7 +14,7 @@
     return loadNodeSettings(file);
   }
 
-  it('should be read from the example of the page', () => {
+  it('should load the documented example', () => {
     const settings = load();
     expect(settings.cluster).toMatchObject({
       port: 7_340,
@@ -27,7 +27,7 @@
     expect(settings.bounds.retryRatio).toBe(0.2);
   });
 
-  it('should leave out the disk of a node that has none', () => {
+  it('should load a node without a disk', () => {
     expect(load({dataDir: ''}).cluster.dataFolder).toBe('');
   });
 
@@ -37,13 +37,16 @@
     [{'bounds.retryBudgetRatio': '7'}, '[bounds] retry-ratio', 'from 0 to 1'],
     [{seeds: 'seed.example:1'}, '[cluster] seeds', 'IP addresses'],
     [{bootstrap: 'maybe'}, '[cluster] first-start', '"true", "false"'],
-  ])('should name file, key and range for %j', (change, key, range) => {
-    expect(() => load(change as Record<string, string>)).toThrow(
-      expect.objectContaining({
-        problems: [expect.stringMatching(/node\.ini/)],
-        message: expect.stringContaining(key),
-      }) as Error
-    );
-    expect(() => load(change as Record<string, string>)).toThrow(range);
-  });
+  ])(
+    'should name the file, key and valid values for %j',
+    (change, key, range) => {
+      expect(() => load(change as Record<string, string>)).toThrow(
+        expect.objectContaining({
+          problems: [expect.stringMatching(/node\.ini/)],
+          message: expect.stringContaining(key),
+        }) as Error
+      );
+      expect(() => load(change as Record<string, string>)).toThrow(range);
+    }
+  );
 });
--- a/tests/platform/siteDocument.spec.ts
+++ b/tests/platform/siteDocument.spec.ts
@@ -45,12 +45,12 @@
     expect(site.limits.idleTimeoutMs).toBe(15_000);
   });
 
-  it('should let a kind that it does not know run once at most', () => {
+  it('should run requests of an unknown kind at most once', () => {
     const decoded = decodeSite(text({routes: [{...ROUTE, kind: 'new'}]}));
     expect(decoded.ok && decoded.site.routes[0]?.repeat).toBe('once');
   });
 
-  it('should work out the time of a copy from its size and the link', () => {
+  it('should compute the copy time of an expert from its size and the link', () => {
     const engine = {slots: 8, expertMb: 2_200, linkMbps: 180_000};
     const decoded = decodeSite(text({services: [{...SERVICE, engine}]}));
     if (!decoded.ok) throw new Error(decoded.problem);
@@ -59,10 +59,10 @@
   });
 
   it.each([
-    ['cut short', text().slice(0, -9)],
+    ['truncated text', text().slice(0, -9)],
     ['not an object', '[]'],
     ['no version', text({version: undefined})],
-    ['a broken version', text({version: 1.5})],
+    ['a fractional version', text({version: 1.5})],
     ['an unknown service', text({routes: [{...ROUTE, service: 'none'}]})],
     ['no service at all', text({routes: [{...ROUTE, service: undefined}]})],
     [
@@ -71,8 +71,11 @@
         routes: [{...ROUTE, trafficSplit: [{service: 'llm', weight: 0}]}],
       }),
     ],
-    ['one place twice', text({routes: [ROUTE, {...ROUTE, name: 'other'}]})],
-    ['a time limit of 0', text({routes: [{...ROUTE, timeoutMs: 0}]})],
+    [
+      'two routes for one host and prefix',
+      text({routes: [ROUTE, {...ROUTE, name: 'other'}]}),
+    ],
+    ['a timeout of 0', text({routes: [{...ROUTE, timeoutMs: 0}]})],
     [
       'a shared key',
       text({tenants: [...TENANTS, {name: 'three', apiKeys: ['k1']}]}),
