--- a/src/cluster/agreedState.ts
+++ b/src/cluster/agreedState.ts
@@ -13,21 +13,21 @@
 import type {NodeDirectory} from './nodeDirectory';
 
 /** A snapshot is small; the disk of a node may hold no more than 64 MB. */
-const SNAPSHOT_BYTES = 8 << 20;
+const SNAPSHOT_AFTER_BYTES = 8 << 20;
 /** Documents are large: a few hundred entries may fill the disk otherwise. */
 const TRAILING_ENTRIES = 64;
 /**
  * Twice the longest election timeout beyond the longest stay of a process that
  * is killed and started again: a voter that comes back keeps its vote.
  */
-const FORGET_AFTER_MS = 8_000;
+const REMOVE_SILENT_VOTER_AFTER_MS = 8_000;
 /**
  * A leader that is lost, or a restart of all, leaves callers without a document
  * and targets without places until the next leader stands: 1.2 s with the usual
  * times of the log, half of it with these. A beat of 100 ms to a handful of
  * instances costs next to nothing; three fit into the shortest wait.
  */
-const TIMING: LogTiming = {
+const LOG_TIMING: LogTiming = {
   heartbeatMs: 100,
   electionMinMs: 350,
   electionMaxMs: 700,
@@ -36,10 +36,10 @@
   firstElectionMs: 250,
 };
 /** A disk that is full for seconds is found usable again within one more. */
-const REOPEN_MS = 700;
+const REOPEN_DELAY_MS = 700;
 
 /** What the log of a node is opened with. */
-export interface AgreedStateOptions {
+export interface LogReplicaOptions {
   readonly directory: NodeDirectory;
   readonly dataDir: string;
   /** Nodes that found the group; nobody founds when empty. */
@@ -59,16 +59,16 @@
  * is opened again from what the disk holds until that works, so that a disk
  * that was full for a while costs no vote for good.
  */
-export class AgreedState {
+export class LogReplica {
   private constructor(
-    private readonly options: AgreedStateOptions,
+    private readonly options: LogReplicaOptions,
     private opened: OpenLog | undefined
   ) {}
 
-  static async open(options: AgreedStateOptions): Promise<AgreedState> {
-    const agreed = new AgreedState(options, undefined);
-    agreed.opened = await agreed.openLog();
-    return agreed;
+  static async open(options: LogReplicaOptions): Promise<LogReplica> {
+    const replica = new LogReplica(options, undefined);
+    replica.opened = await replica.openLog();
+    return replica;
   }
 
   /** Absent while the disk is out of order. */
@@ -97,7 +97,7 @@
     const {directory, founders, isFirstStart, logger} = this.options;
     const state = new ControlState();
     const forget: ForgetRule = {
-      afterMs: FORGET_AFTER_MS,
+      afterMs: REMOVE_SILENT_VOTER_AFTER_MS,
       keepVoters: 2 * this.options.lossesBorne + 1,
     };
     const log = await createReplicatedLog({
@@ -110,19 +110,19 @@
       stateMachine: state,
       logger,
       random: Math.random,
-      timing: TIMING,
+      timing: LOG_TIMING,
       onFatal: err => this.reopenLater(err),
       limits: {
-        snapshotBytes: SNAPSHOT_BYTES,
+        snapshotBytes: SNAPSHOT_AFTER_BYTES,
         trailingEntries: TRAILING_ENTRIES,
       },
     });
-    this.logMembership(log);
+    this.logStatusChanges(log);
     return {log, state};
   }
 
   /** One line each time this node's part, the leader or the voters change. */
-  private logMembership(log: ReplicatedLog): void {
+  private logStatusChanges(log: ReplicatedLog): void {
     log.status$
       .pipe(
         map(({role, leaderId, voter, voterIds, term}) => ({
@@ -140,8 +140,8 @@
             a.voterIds.join() === b.voterIds.join()
         )
       )
-      .subscribe(belief =>
-        this.options.logger.info({event: 'log.changed', ...belief}, belief.role)
+      .subscribe(status =>
+        this.options.logger.info({event: 'log.changed', ...status}, status.role)
       );
   }
 
@@ -151,13 +151,13 @@
       {event: 'disk.lost', err: String(err)},
       'the disk refused a write; the log is opened again later'
     );
-    this.options.after(REOPEN_MS, () => {
+    this.options.after(REOPEN_DELAY_MS, () => {
       this.openLog().then(
         opened => {
           this.opened = opened;
           this.options.logger.info({event: 'disk.regained'}, 'log open again');
         },
-        (again: unknown) => this.reopenLater(again)
+        (reopenErr: unknown) => this.reopenLater(reopenErr)
       );
     });
   }
--- a/src/cluster/clusterNode.ts
+++ b/src/cluster/clusterNode.ts
@@ -15,15 +15,15 @@
 import {unpackText} from '../site/packText';
 import type {MapOutlook} from '../policy/mapOutlook';
 import {reportPeriodMs} from '../policy/reportPeriod';
-import {AgreedState} from './agreedState';
+import {LogReplica} from './agreedState';
 import {Coordinator} from './coordinator';
-import {LeaderDuties} from './leaderDuties';
+import {LeaderService} from './leaderDuties';
 import {findFounders} from './findFounders';
 import {PeerDiscovery} from './peerDiscovery';
-import {HeardRecords} from './heardRecords';
-import {HeldSite} from './heldSite';
-import {LeaderLink} from './leaderLink';
-import {LeaderProgress} from './leaderProgress';
+import {LocalAnnouncements} from './heardRecords';
+import {ActiveSite} from './heldSite';
+import {LeaderClient} from './leaderLink';
+import {SyncCursor} from './leaderProgress';
 import type {
   NodeInfo,
   OperatorCommand,
@@ -52,12 +52,12 @@
 const SYNC_TIMEOUT_MS = 700;
 const LOG_TIMEOUT_MS = 1_000;
 /** A disk that cannot be opened is tried again after this. */
-const REJOIN_MS = 400;
+const OPEN_RETRY_MS = 400;
 /** A commit waits for two syncs of a disk; slow ones take a quarter of a second. */
 const PROPOSE_TIMEOUT_MS = 2_500;
 const READ_TIMEOUT_MS = 1_500;
 /** Heartbeats missed before a target counts as silent, with one that is late. */
-const MISSED_HEARTBEATS = 3.5;
+const SILENT_AFTER_HEARTBEATS = 3.5;
 
 /** What the node is started with. */
 export interface ClusterNodeOptions {
@@ -88,26 +88,26 @@
 /** A running node. */
 export class ClusterNode {
   readonly table = new TargetTable();
-  private readonly duties: LeaderDuties;
+  private readonly leaderService: LeaderService;
   private readonly coordinator: Coordinator;
   private readonly bootId = newBootId();
   private readonly rpc: RpcClient;
   private readonly server: RpcServer;
   private readonly directory: NodeDirectory;
-  private readonly link: LeaderLink;
+  private readonly leaderClient: LeaderClient;
   private readonly peerDiscovery: PeerDiscovery;
   private readonly subscription = new Subscription();
-  private agreed: AgreedState | undefined;
+  private replica: LogReplica | undefined;
   private current: ClusterView = {
     index: undefined,
     zonesOut: new Set(),
     grants: new Map(),
     activeNodes: 1,
   };
-  private readonly held: HeldSite;
-  private readonly heard = new HeardRecords();
-  private readonly progress = new LeaderProgress();
-  private syncedAtMs = -Infinity;
+  private readonly activeSite: ActiveSite;
+  private readonly heard = new LocalAnnouncements();
+  private readonly progress = new SyncCursor();
+  private syncStartedAtMs = -Infinity;
   private outlookOf: (
     service: string,
     group: string
@@ -115,7 +115,7 @@
 
   private constructor(private readonly options: ClusterNodeOptions) {
     const {self, port, seeds, logger, heartbeatMs} = options;
-    this.held = new HeldSite(options.decodeSite, logger);
+    this.activeSite = new ActiveSite(options.decodeSite, logger);
     const nowMs = () => performance.now();
     this.rpc = new RpcClient(port);
     this.server = new RpcServer(logger);
@@ -130,25 +130,25 @@
       nowMs
     );
     this.peerDiscovery = new PeerDiscovery(this.directory, this.rpc, logger);
-    this.link = new LeaderLink(
+    this.leaderClient = new LeaderClient(
       this.rpc,
       this.directory,
       logger,
-      () => this.agreed?.leader
+      () => this.replica?.leader
     );
     this.coordinator = new Coordinator(
       this.table,
       logger,
       nowMs,
-      heartbeatMs * MISSED_HEARTBEATS,
+      heartbeatMs * SILENT_AFTER_HEARTBEATS,
       (service, group) => this.outlookOf(service, group)
     );
-    this.duties = new LeaderDuties({
-      agreed: () => this.agreed,
+    this.leaderService = new LeaderService({
+      replica: () => this.replica,
       directory: this.directory,
       coordinator: this.coordinator,
       site: () => this.site,
-      leader: () => this.link.leader,
+      leader: () => this.leaderClient.leader,
       logger,
     });
   }
@@ -172,22 +172,22 @@
 
   /** Whether this node leads and knows all that was agreed before. */
   get leads(): boolean {
-    return this.duties.isConfirmed;
+    return this.leaderService.isCaughtUp;
   }
 
   /** Whether some node is known to lead. */
   get knowsLeader(): boolean {
-    return this.link.leader !== undefined;
+    return this.leaderClient.leader !== undefined;
   }
 
   /** Term in which this node leads. */
   get term(): number {
-    return this.duties.term;
+    return this.leaderService.term;
   }
 
   /** On the leader: pace of a group as all nodes reported it; 0 when none runs. */
   paceMs(service: string, group: string): number {
-    return this.coordinator.paceMs(service, group);
+    return this.coordinator.passMs(service, group);
   }
 
   /** On the leader: requests of all nodes that run in a group. */
@@ -235,7 +235,7 @@
   hear(announcement: TargetAnnouncement): boolean {
     const now = performance.now();
     const isNew = this.table.merge(announcement, now);
-    if (isNew) this.heard.note(announcement, now);
+    if (isNew) this.heard.add(announcement, now);
     return isNew;
   }
 
@@ -243,7 +243,7 @@
   hearLeave(id: string): void {
     const now = performance.now();
     const record = this.table.leave(id, now);
-    if (record !== undefined) this.heard.note(record, now);
+    if (record !== undefined) this.heard.add(record, now);
   }
 
   /** Resolves once the leader knows what was heard here; rejects when not. */
@@ -253,11 +253,11 @@
 
   /** Resolves once the command is durable on a quorum. */
   async propose(command: OperatorCommand): Promise<void> {
-    if (this.agreed?.leads === true) {
-      await this.duties.propose(command);
+    if (this.replica?.leads === true) {
+      await this.leaderService.propose(command);
       return;
     }
-    await this.link.call({
+    await this.leaderClient.call({
       method: NODE_METHODS.propose,
       params: {command},
       reply: PROPOSE_REPLY,
@@ -269,22 +269,22 @@
   async readSite(): Promise<{version: number; text: string}> {
     const heldVersion = this.current.index?.site.version ?? NO_SITE_VERSION;
     const reply =
-      this.agreed?.leads === true
-        ? await this.duties.readSite(heldVersion)
-        : await this.link.call({
+      this.replica?.leads === true
+        ? await this.leaderService.readSite(heldVersion)
+        : await this.leaderClient.call({
             method: NODE_METHODS.readSite,
             params: {heldVersion},
             reply: READ_SITE_REPLY,
             timeoutMs: READ_TIMEOUT_MS,
           });
-    const packed = reply.packed ?? this.held.packed;
+    const packed = reply.packed ?? this.activeSite.packed;
     const text = packed === '' ? '' : unpackText(packed);
     return {version: reply.version, text};
   }
 
   async stop(): Promise<void> {
     this.subscription.unsubscribe();
-    await this.agreed?.close();
+    await this.replica?.close();
     this.server.close();
     this.rpc.close();
   }
@@ -296,7 +296,7 @@
       ? await findFounders(directory, rpc, logger)
       : [];
     try {
-      this.agreed = await AgreedState.open({
+      this.replica = await LogReplica.open({
         directory,
         dataDir,
         founders,
@@ -307,44 +307,44 @@
       });
     } catch (err) {
       logger.error({event: 'disk.lost', err: String(err)}, 'no log here');
-      setTimeout(() => void this.joinLog(), REJOIN_MS).unref();
+      setTimeout(() => void this.joinLog(), OPEN_RETRY_MS).unref();
     }
   }
 
   private addMethods(): void {
     const {server} = this;
     server.addMethod(NODE_METHODS.hello, HELLO_PARAMS, async ({from}) => {
-      this.directory.note([from]);
-      const {leader} = this.link;
+      this.directory.markSeen([from]);
+      const {leader} = this.leaderClient;
       const nodes = this.directory.all();
       return {self: this.directory.self, nodes, leader};
     });
     const logParams = z.object({message: z.unknown()});
     server.addMethod(NODE_METHODS.log, logParams, async ({message}) => {
-      const log = this.agreed?.current?.log;
+      const log = this.replica?.current?.log;
       if (log === undefined) throw new Error('no log here');
       return log.receive(message);
     });
-    const {duties} = this;
+    const {leaderService} = this;
     server.addMethod(NODE_METHODS.sync, SYNC_PARAMS, params =>
-      duties.sync(params)
+      leaderService.sync(params)
     );
     server.addMethod(NODE_METHODS.propose, PROPOSE_PARAMS, ({command}) =>
-      duties.takeProposal(command)
+      leaderService.handleProposal(command)
     );
     server.addMethod(NODE_METHODS.readSite, READ_SITE_PARAMS, ({heldVersion}) =>
-      duties.answerRead(heldVersion)
+      leaderService.handleReadSite(heldVersion)
     );
   }
 
   /** Until the next report; one that took long is followed at once. */
   private get syncDelayMs(): number {
     const periodMs = reportPeriodMs(this.current.activeNodes);
-    return Math.max(0, this.syncedAtMs + periodMs - performance.now());
+    return Math.max(0, this.syncStartedAtMs + periodMs - performance.now());
   }
 
   private async sync(): Promise<void> {
-    this.syncedAtMs = performance.now();
+    this.syncStartedAtMs = performance.now();
     try {
       await this.syncOnce();
       this.options.metrics.reported('done');
@@ -357,46 +357,47 @@
   }
 
   private async syncOnce(): Promise<void> {
-    const heard = this.heard.take();
+    const announcements = this.heard.takeUnsent();
     try {
-      const params = this.syncParams(heard);
+      const params = this.syncParams(announcements);
       const reply =
-        this.agreed?.leads === true
-          ? await this.duties.sync(params)
-          : await this.link.call({
+        this.replica?.leads === true
+          ? await this.leaderService.sync(params)
+          : await this.leaderClient.call({
               method: NODE_METHODS.sync,
               params,
               reply: SYNC_REPLY,
               timeoutMs: SYNC_TIMEOUT_MS,
             });
       if (reply.kind !== 'state') throw new Error('no leader');
-      this.adopt(reply);
+      this.applyReply(reply);
     } catch (err) {
-      this.heard.putBack(heard);
+      this.heard.requeue(announcements);
       throw err;
     }
   }
 
-  private syncParams(heard: readonly TargetRecord[]): SyncParams {
+  private syncParams(announcements: readonly TargetRecord[]): SyncParams {
     return {
       from: this.directory.self,
       bootId: this.bootId,
       siteVersion: this.current.index?.site.version ?? NO_SITE_VERSION,
-      ...this.progress.params(performance.now()),
-      records: [...heard],
+      ...this.progress.reportParams(performance.now()),
+      records: [...announcements],
       loads: [...this.options.takeLoads()],
     };
   }
 
-  private adopt(reply: SyncState): void {
-    if (this.progress.isOlder(reply)) return;
+  private applyReply(reply: SyncState): void {
+    if (this.progress.isStale(reply)) return;
     const now = performance.now();
-    this.directory.note(reply.nodes);
-    if (this.progress.note(reply, now)) this.heard.tellAgain(now);
+    this.directory.markSeen(reply.nodes);
+    if (this.progress.advance(reply, now)) this.heard.requeueRecent(now);
     if (!this.leads)
-      for (const record of reply.records) this.table.adopt(record, now);
+      for (const record of reply.records)
+        this.table.mergeFromLeader(record, now);
     this.current = {
-      index: this.held.adopt(reply.siteVersion, reply.packedSite),
+      index: this.activeSite.update(reply.siteVersion, reply.packedSite),
       zonesOut: new Set(reply.zonesOut),
       grants: new Map(reply.grants.map(grant => [grant.service, grant])),
       activeNodes: Math.max(1, reply.activeNodes),
--- a/src/cluster/coordinator.ts
+++ b/src/cluster/coordinator.ts
@@ -10,21 +10,25 @@
 import type {MapOutlook} from '../policy/mapOutlook';
 import {NO_GOALS, streamGoals} from '../site/streamGoals';
 import type {Site} from '../site/site';
-import {LimitLog} from './limitLog';
+import {LimitChangeLogger} from './limitLog';
 import type {NodeInfo, ServiceGrant, SyncParams, SyncState} from './messages';
 import type {NodeReport} from './nodeReports';
 import {NodeReports, demandsOf, inFlightOf, loadsOf} from './nodeReports';
 import {TargetPermits} from '../policy/targetPermits';
 import type {ServiceConcurrency} from './serviceGroups';
-import {concurrencyOf, medianPace, tightestBound} from './serviceGroups';
+import {
+  computeConcurrency,
+  medianPassMs,
+  tightestLimitReason,
+} from './serviceGroups';
 import type {TargetTable} from './targetTable';
 
 /** Between two looks for targets that fell silent. */
-const EXPIRE_PERIOD_MS = 50;
+const EXPIRE_CHECK_INTERVAL_MS = 50;
 /** Shares are worked out once for all nodes that report within this time. */
-const SHARES_PERIOD_MS = 50;
+const SHARES_INTERVAL_MS = 50;
 /** A new leader has heard of the loads of all nodes after so many reports. */
-const WHOLE_AFTER_PERIODS = 4;
+const REPORT_COLLECT_PERIODS = 4;
 /** How the concurrency of one service is allocated. */
 interface ServiceShares {
   /** Requests at once by the address of the node. */
@@ -40,7 +44,7 @@
 }
 
 /** Replicated state that answers carry along. */
-export interface AgreedView {
+export interface ReplicatedView {
   readonly term: number;
   readonly index: number;
   readonly siteVersion: number;
@@ -54,10 +58,10 @@
   private readonly limits = new Map<string, GroupLimits>();
   private shares = new Map<string, ServiceShares>();
   private readonly permits = new Map<string, TargetPermits>();
-  private sharesAtMs = -Infinity;
+  private sharesUpdatedAtMs = -Infinity;
   private resetAtMs = -Infinity;
-  private expiredAtMs = -Infinity;
-  private readonly limitLog: LimitLog;
+  private expireCheckedAtMs = -Infinity;
+  private readonly limitLogger: LimitChangeLogger;
 
   constructor(
     private readonly table: TargetTable,
@@ -71,7 +75,7 @@
       group: string
     ) => MapOutlook | undefined
   ) {
-    this.limitLog = new LimitLog(logger);
+    this.limitLogger = new LimitChangeLogger(logger);
   }
 
   /**
@@ -82,31 +86,32 @@
   reset(): void {
     this.reports.clear();
     this.permits.clear();
-    this.table.hearAll(this.nowMs());
+    this.table.markAllSeen(this.nowMs());
     this.resetAtMs = this.nowMs();
   }
 
   /** Takes in a report and answers with the whole view. */
   sync(
     params: SyncParams,
-    agreed: AgreedView,
+    replicated: ReplicatedView,
     site: Site | undefined,
     nodes: NodeList
   ): SyncState {
     const now = this.nowMs();
     for (const record of params.records)
-      if (this.table.merge(record, now)) this.logMerged(params.from, record.id);
+      if (this.table.merge(record, now))
+        this.logMergedRecord(params.from, record.id);
     this.expire(now);
-    this.reports.note(params, now);
-    const isKnownTable = params.tableTerm === agreed.term;
-    const from = isKnownTable ? params.tableRevision : 0;
-    const {term, index, siteVersion, packedSite, zonesOut} = agreed;
+    this.reports.add(params, now);
+    const isSameTerm = params.tableTerm === replicated.term;
+    const sinceRevision = isSameTerm ? params.tableRevision : 0;
+    const {term, index, siteVersion, packedSite, zonesOut} = replicated;
     return {
       kind: 'state',
       term,
       index,
       nodes:
-        isKnownTable && params.nodesRevision === nodes.revision
+        isSameTerm && params.nodesRevision === nodes.revision
           ? []
           : [...nodes.all()],
       nodesRevision: nodes.revision,
@@ -114,16 +119,16 @@
       ...(params.siteVersion < siteVersion ? {packedSite} : {}),
       zonesOut: [...zonesOut],
       tableRevision: this.table.revision,
-      records: [...this.table.since(from)],
-      grants: this.grantsFor(params.from.ip, site, agreed.zonesOut),
+      records: [...this.table.changedSince(sinceRevision)],
+      grants: this.grantsFor(params.from.ip, site, replicated.zonesOut),
       activeNodes: this.reports.active(now).length,
     };
   }
 
   /** Pace of a group as the nodes reported it last; 0 when no stream runs. */
-  paceMs(service: string, group: string): number {
+  passMs(service: string, group: string): number {
     const reports = this.reports.active(this.nowMs());
-    return medianPace(loadsOf(service, reports), group);
+    return medianPassMs(loadsOf(service, reports), group);
   }
 
   /** Requests of all nodes in a group, or at a service without groups. */
@@ -140,8 +145,8 @@
   }
 
   private expire(now: number): void {
-    if (now - this.expiredAtMs < EXPIRE_PERIOD_MS) return;
-    this.expiredAtMs = now;
+    if (now - this.expireCheckedAtMs < EXPIRE_CHECK_INTERVAL_MS) return;
+    this.expireCheckedAtMs = now;
     this.table.expire(now, this.silentAfterMs);
   }
 
@@ -152,7 +157,7 @@
   ): ServiceGrant[] {
     if (site === undefined) return [];
     const reports = this.reports.active(this.nowMs());
-    this.renewShares(site, reports, zonesOut);
+    this.updateShares(site, reports, zonesOut);
     return [...site.services.keys()].map(service => ({
       service,
       concurrency: this.shares.get(service)?.byNode.get(node) ?? 1,
@@ -165,17 +170,19 @@
 
   private boundBy(service: string): string | undefined {
     const shares = this.shares.get(service);
-    return shares === undefined ? undefined : tightestBound(shares.concurrency);
+    return shares === undefined
+      ? undefined
+      : tightestLimitReason(shares.concurrency);
   }
 
-  private renewShares(
+  private updateShares(
     site: Site,
     reports: readonly NodeReport[],
     zonesOut: readonly string[]
   ): void {
     const now = this.nowMs();
-    if (now - this.sharesAtMs < SHARES_PERIOD_MS) return;
-    this.sharesAtMs = now;
+    if (now - this.sharesUpdatedAtMs < SHARES_INTERVAL_MS) return;
+    this.sharesUpdatedAtMs = now;
     const goals = streamGoals(site);
     // Slots where nothing may be sent would let more requests in than the others
     // can take; they would wait at the targets, unseen.
@@ -186,17 +193,17 @@
       [...site.services.values()].map(service => {
         const {name} = service;
         const loads = loadsOf(name, reports);
-        const concurrency = concurrencyOf(this.limitsOf(name), {
+        const concurrency = computeConcurrency(this.limitsOf(name), {
           service,
           records,
           loads,
           goals: goals.get(name) ?? NO_GOALS,
-          isWhole: this.isWhole,
+          allNodesReported: this.allNodesReported,
           outlookOf: group => this.outlookOf(name, group),
           nowMs: now,
         });
-        this.limitLog.note(name, concurrency, loads);
-        this.takeTargets(name, concurrency);
+        this.limitLogger.logIfChanged(name, concurrency, loads);
+        this.updatePermits(name, concurrency);
         const demands = demandsOf(name, reports);
         const byNode = allocateShares(concurrency.total, demands);
         const free = freePlaces(concurrency.total, demands);
@@ -213,15 +220,18 @@
     return limits;
   }
 
-  private takeTargets(service: string, concurrency: ServiceConcurrency): void {
+  private updatePermits(
+    service: string,
+    concurrency: ServiceConcurrency
+  ): void {
     const {targets, groups} = concurrency;
     const permits = this.permits.get(service) ?? new TargetPermits();
     this.permits.set(service, permits);
     // The concurrency of all nodes together bounds a single group already.
-    const isShared = groups.length > 1;
+    const hasSeveralGroups = groups.length > 1;
     permits.setTargets(
       targets,
-      isShared
+      hasSeveralGroups
         ? new Map(groups.map(({name, concurrency}) => [name, concurrency]))
         : undefined
     );
@@ -240,7 +250,7 @@
     service: string
   ): Record<string, number> | undefined {
     const report = this.reports.find(node);
-    if (report === undefined || !this.isWhole) return undefined;
+    if (report === undefined || !this.allNodesReported) return undefined;
     const shares = this.shares.get(service);
     const demand = {
       node,
@@ -253,12 +263,12 @@
   }
 
   /** Whether all nodes had time to report to this leader. */
-  private get isWhole(): boolean {
+  private get allNodesReported(): boolean {
     const {periodMs} = this.reports;
-    return this.nowMs() - this.resetAtMs >= WHOLE_AFTER_PERIODS * periodMs;
+    return this.nowMs() - this.resetAtMs >= REPORT_COLLECT_PERIODS * periodMs;
   }
 
-  private logMerged(from: NodeInfo, id: string): void {
+  private logMergedRecord(from: NodeInfo, id: string): void {
     const record = this.table.find(id);
     this.logger.debug({event: 'target.merged', from: from.ip, record}, id);
   }
--- a/src/cluster/findFounders.ts
+++ b/src/cluster/findFounders.ts
@@ -12,8 +12,8 @@
 import type {RpcClient} from './rpcClient';
 
 /** Nodes start within a third of a second of each other, in any order. */
-const RETRY_MS = 150;
-const ASK_TIMEOUT_MS = 600;
+const RETRY_INTERVAL_MS = 150;
+const HELLO_TIMEOUT_MS = 600;
 
 /** Resolves with the founders' addresses once every seed has answered. */
 export async function findFounders(
@@ -30,14 +30,14 @@
           .filter(ip => ip !== from.ip)
           .map(async ip =>
             HELLO_REPLY.parse(
-              await rpc.call(ip, NODE_METHODS.hello, {from}, ASK_TIMEOUT_MS)
+              await rpc.call(ip, NODE_METHODS.hello, {from}, HELLO_TIMEOUT_MS)
             )
           )
       );
       return foundersAmong(directory, seeds, replies);
     } catch (err) {
       logger.debug({event: 'seeds.waiting', err: String(err)}, 'seed missing');
-      await firstValueFrom(timer(RETRY_MS));
+      await firstValueFrom(timer(RETRY_INTERVAL_MS));
     }
   }
 }
@@ -47,10 +47,10 @@
   seeds: readonly string[],
   replies: readonly HelloReply[]
 ): readonly string[] {
-  directory.note(replies.flatMap(({self, nodes}) => [self, ...nodes]));
-  const withDisk = new Set(
+  directory.markSeen(replies.flatMap(({self, nodes}) => [self, ...nodes]));
+  const ipsWithDisk = new Set(
     replies.filter(({self}) => self.hasDisk).map(({self}) => self.ip)
   );
-  if (directory.self.hasDisk) withDisk.add(directory.self.ip);
-  return seeds.filter(ip => withDisk.has(ip)).sort();
+  if (directory.self.hasDisk) ipsWithDisk.add(directory.self.ip);
+  return seeds.filter(ip => ipsWithDisk.has(ip)).sort();
 }
--- a/src/cluster/heldSite.ts
+++ b/src/cluster/heldSite.ts
@@ -7,7 +7,7 @@
 import {SiteIndex} from '../site/siteIndex';
 
 /** Holds the newest document that could be read. */
-export class HeldSite {
+export class ActiveSite {
   private current: SiteIndex | undefined;
   private packedText = '';
 
@@ -22,7 +22,7 @@
   }
 
   /** Takes over a newer document; returns the one that is held then. */
-  adopt(version: number, packed: string | undefined): SiteIndex | undefined {
+  update(version: number, packed: string | undefined): SiteIndex | undefined {
     const heldVersion = this.current?.site.version ?? NO_SITE_VERSION;
     if (packed === undefined || version <= heldVersion) return this.current;
     const decoded = this.decode(unpackText(packed));
--- a/src/cluster/leaderDuties.ts
+++ b/src/cluster/leaderDuties.ts
@@ -5,14 +5,14 @@
 
 import type {Logger} from '../core/logger';
 import type {Site} from '../site/site';
-import type {AgreedState, OpenLog} from './agreedState';
+import type {LogReplica, OpenLog} from './agreedState';
 import type {Coordinator} from './coordinator';
 import type {OperatorCommand, SyncParams, SyncReply} from './messages';
 import type {NodeDirectory} from './nodeDirectory';
 
 /** What the duties rest on. */
-export interface LeaderParts {
-  agreed(): AgreedState | undefined;
+export interface LeaderServiceParts {
+  replica(): LogReplica | undefined;
   readonly directory: NodeDirectory;
   readonly coordinator: Coordinator;
   site(): Site | undefined;
@@ -27,20 +27,20 @@
 }
 
 /** Calls that only the leader can carry out. */
-export class LeaderDuties {
-  private leadingTerm = -1;
-  private confirmedTerm = -1;
+export class LeaderService {
+  private coordinatorTerm = -1;
+  private caughtUpTerm = -1;
 
-  constructor(private readonly parts: LeaderParts) {}
+  constructor(private readonly parts: LeaderServiceParts) {}
 
   get term(): number {
-    return this.parts.agreed()?.current?.log.status().term ?? 0;
+    return this.parts.replica()?.current?.log.status().term ?? 0;
   }
 
   /** Whether this node leads and knows all that was agreed before. */
-  get isConfirmed(): boolean {
-    const leads = this.parts.agreed()?.leads === true;
-    return leads && this.confirmedTerm === this.term;
+  get isCaughtUp(): boolean {
+    const leads = this.parts.replica()?.leads === true;
+    return leads && this.caughtUpTerm === this.term;
   }
 
   /** Resolves once the command is durable on a quorum. */
@@ -48,16 +48,16 @@
     const {log, state} = this.open();
     // What is overtaken already changes nothing: the log is spared a copy, but
     // the answer still needs a proof that the newer version is agreed.
-    const isOvertaken =
+    const isSuperseded =
       command.kind === 'site' && command.version <= state.site.version;
-    if (isOvertaken) await log.readBarrier();
+    if (isSuperseded) await log.readBarrier();
     else await log.propose(command);
     const {kind} = command;
     this.parts.logger.info({event: 'change.agreed', kind}, 'change agreed');
   }
 
   /** Proposes for another node. */
-  async takeProposal(
+  async handleProposal(
     command: OperatorCommand
   ): Promise<NotLeader | {kind: 'committed'}> {
     if (!this.leads) return this.notLeader();
@@ -75,43 +75,43 @@
   }
 
   /** Reads for another node. */
-  async answerRead(heldVersion: number) {
+  async handleReadSite(heldVersion: number) {
     return this.leads ? this.readSite(heldVersion) : this.notLeader();
   }
 
   /** Answers a report, this node's own included. */
   async sync(params: SyncParams): Promise<SyncReply> {
     const {directory, coordinator, site} = this.parts;
-    directory.note([params.from]);
+    directory.markSeen([params.from]);
     if (!this.leads) return this.notLeader();
     const opened = this.open();
     const {term} = this;
-    if (this.leadingTerm !== term) {
-      this.leadingTerm = term;
+    if (this.coordinatorTerm !== term) {
+      this.coordinatorTerm = term;
       coordinator.reset();
     }
-    if (this.confirmedTerm !== term) {
+    if (this.caughtUpTerm !== term) {
       // What earlier leaders agreed may not be applied here yet.
       await opened.log.readBarrier();
-      this.confirmedTerm = term;
+      this.caughtUpTerm = term;
     }
     const {version, packed, zonesOut} = opened.state.site;
-    const agreed = {
+    const replicated = {
       term,
       index: opened.log.status().commitIndex,
       siteVersion: version,
       packedSite: packed,
       zonesOut,
     };
-    return coordinator.sync(params, agreed, site(), directory);
+    return coordinator.sync(params, replicated, site(), directory);
   }
 
   private get leads(): boolean {
-    return this.parts.agreed()?.leads === true;
+    return this.parts.replica()?.leads === true;
   }
 
   private open(): OpenLog {
-    const opened = this.parts.agreed()?.current;
+    const opened = this.parts.replica()?.current;
     if (opened === undefined) throw new Error('no log here');
     return opened;
   }
--- a/src/cluster/leaderLink.ts
+++ b/src/cluster/leaderLink.ts
@@ -12,7 +12,7 @@
 }
 
 /** Nodes asked for one call before it fails: a leader that moved is found. */
-const MAX_ASKED = 5;
+const MAX_ATTEMPTS = 5;
 
 /** One call and how its answer reads. */
 export interface LeaderCall<T> {
@@ -24,21 +24,21 @@
 }
 
 /** Finds the leader and remembers it. */
-export class LeaderLink {
-  private known: string | undefined;
-  private nextCandidate = 0;
+export class LeaderClient {
+  private cachedLeader: string | undefined;
+  private nextIndex = 0;
 
   constructor(
     private readonly rpc: RpcClient,
     private readonly directory: NodeDirectory,
     private readonly logger: Logger,
     /** Leader by this node's own log, if it takes part in it. */
-    private readonly fromLog: () => string | undefined
+    private readonly leaderFromLog: () => string | undefined
   ) {}
 
   /** The leader as far as known. */
   get leader(): string | undefined {
-    return this.fromLog() ?? this.known;
+    return this.leaderFromLog() ?? this.cachedLeader;
   }
 
   /** Asks one node after the other; rejects when none leads. */
@@ -47,15 +47,15 @@
   ): Promise<Exclude<T, NotLeader>> {
     let hint = this.leader;
     let failure: unknown = new Error('no other node is known');
-    for (let asked = 0; asked < MAX_ASKED; asked++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const ip = hint ?? this.nextNode();
       if (ip === undefined || ip === this.directory.self.ip) break;
       try {
         const {method, params, timeoutMs} = call;
-        const answer = await this.rpc.call(ip, method, params, timeoutMs);
-        const reply = call.reply.parse(answer);
+        const result = await this.rpc.call(ip, method, params, timeoutMs);
+        const reply = call.reply.parse(result);
         if (reply.kind !== 'notLeader') {
-          this.learn(ip);
+          this.cacheLeader(ip);
           return reply as Exclude<T, NotLeader>;
         }
         const {leader} = reply as NotLeader;
@@ -65,30 +65,30 @@
         failure = err;
         hint = undefined;
       }
-      if (this.known === ip) this.forget(failure);
+      if (this.cachedLeader === ip) this.clearLeader(failure);
     }
     throw failure;
   }
 
-  private learn(ip: string): void {
-    if (this.known !== ip)
+  private cacheLeader(ip: string): void {
+    if (this.cachedLeader !== ip)
       this.logger.info({event: 'leader.found', ip}, 'leader found');
-    this.known = ip;
+    this.cachedLeader = ip;
   }
 
-  private forget(failure: unknown): void {
+  private clearLeader(failure: unknown): void {
     const err = String(failure);
     this.logger.warn(
-      {event: 'leader.lost', ip: this.known, err},
+      {event: 'leader.lost', ip: this.cachedLeader, err},
       'leader lost'
     );
-    this.known = undefined;
+    this.cachedLeader = undefined;
   }
 
   /** Each in turn, so that one that hangs is not asked over and over. */
   private nextNode(): string | undefined {
-    const candidates = this.directory.candidates();
-    if (candidates.length === 0) return undefined;
-    return candidates[this.nextCandidate++ % candidates.length];
+    const addresses = this.directory.probeAddresses();
+    if (addresses.length === 0) return undefined;
+    return addresses[this.nextIndex++ % addresses.length];
   }
 }
--- a/src/cluster/leaderProgress.ts
+++ b/src/cluster/leaderProgress.ts
@@ -3,21 +3,21 @@
 import type {SyncParams, SyncState} from './messages';
 
 /** The list of nodes comes this often, also when it has not changed. */
-const NODES_PERIOD_MS = 5_000;
+const NODES_REFRESH_MS = 5_000;
 
 /** Position in the view of the present leader. */
-export class LeaderProgress {
+export class SyncCursor {
   private term = -1;
   private index = -1;
   private tableRevision = 0;
   private nodesRevision: number | undefined;
-  private nodesAtMs = -Infinity;
+  private nodesReceivedAtMs = -Infinity;
 
   /** What a report says of it. */
-  params(
+  reportParams(
     nowMs: number
   ): Pick<SyncParams, 'tableTerm' | 'tableRevision' | 'nodesRevision'> {
-    const isFresh = nowMs - this.nodesAtMs < NODES_PERIOD_MS;
+    const isFresh = nowMs - this.nodesReceivedAtMs < NODES_REFRESH_MS;
     return {
       tableTerm: this.term,
       tableRevision: this.tableRevision,
@@ -27,18 +27,18 @@
   }
 
   /** Whether an answer is of an older leader or an older position of the log. */
-  isOlder({term, index}: SyncState): boolean {
+  isStale({term, index}: SyncState): boolean {
     return term < this.term || index < this.index;
   }
 
   /** Takes an answer in; returns whether its leader is a new one. */
-  note(reply: SyncState, nowMs: number): boolean {
+  advance(reply: SyncState, nowMs: number): boolean {
     const isNewLeader = reply.term > this.term;
     this.term = reply.term;
     this.index = reply.index;
     this.tableRevision = reply.tableRevision;
     this.nodesRevision = reply.nodesRevision;
-    if (reply.nodes.length > 0) this.nodesAtMs = nowMs;
+    if (reply.nodes.length > 0) this.nodesReceivedAtMs = nowMs;
     return isNewLeader;
   }
 }
--- a/src/cluster/limitLog.ts
+++ b/src/cluster/limitLog.ts
@@ -8,30 +8,30 @@
 import type {ServiceConcurrency} from './serviceGroups';
 
 /** Change of the concurrency of a service that is logged, in parts of it. */
-const LOGGED_PART = 0.1;
+const MIN_LOGGED_CHANGE_RATIO = 0.1;
 
-interface Logged {
+interface LoggedLimit {
   readonly total: number;
   readonly reasons: string;
 }
 
 /** Limits by service, as they were logged last. */
-export class LimitLog {
-  private readonly logged = new Map<string, Logged>();
+export class LimitChangeLogger {
+  private readonly logged = new Map<string, LoggedLimit>();
 
   constructor(private readonly logger: Logger) {}
 
-  note(
+  logIfChanged(
     service: string,
     {total, groups}: ServiceConcurrency,
     loads: readonly ServiceLoad[]
   ): void {
     const reasons = groups.map(({name, reason}) => `${name} ${reason}`).join();
     const last = this.logged.get(service);
-    const isAlike =
+    const isUnchanged =
       last?.reasons === reasons &&
-      Math.abs(total - last.total) <= last.total * LOGGED_PART;
-    if (isAlike) return;
+      Math.abs(total - last.total) <= last.total * MIN_LOGGED_CHANGE_RATIO;
+    if (isUnchanged) return;
     this.logged.set(service, {total, reasons});
     const running = inFlightOf(loads);
     const waiting = sum(loads.map(load => load.waiting));
@@ -40,10 +40,10 @@
         event: 'places.changed',
         service,
         ...rounded({places: total, running, waiting}),
-        groups: groups.map(({name, reason, outlook, ...figures}) => ({
+        groups: groups.map(({name, reason, outlook, ...numbers}) => ({
           name,
           reason,
-          ...rounded(figures),
+          ...rounded(numbers),
           ...outlook,
         })),
       },
--- a/src/cluster/messages.ts
+++ b/src/cluster/messages.ts
@@ -38,7 +38,7 @@
 /** Answer to a hello. */
 export type HelloReply = z.infer<typeof HELLO_REPLY>;
 
-const GROUP = z.object({
+const GROUP_MEMBERSHIP = z.object({
   name: TEXT,
   epoch: z.number(),
   rank: z.number(),
@@ -57,7 +57,7 @@
   slots: z.number(),
   state: z.enum(['ready', 'draining', 'silent', 'gone']),
   coldMs: z.number(),
-  group: GROUP.optional(),
+  group: GROUP_MEMBERSHIP.optional(),
 });
 
 /** What one node sees of one service. */
--- a/src/cluster/nodeDirectory.ts
+++ b/src/cluster/nodeDirectory.ts
@@ -7,17 +7,17 @@
 import type {NodeInfo} from './messages';
 
 /** A node that was not heard of for so long is forgotten; seeds never are. */
-const FORGET_AFTER_MS = 20_000;
+const EXPIRE_AFTER_MS = 20_000;
 
 interface KnownNode {
   readonly info: NodeInfo;
-  readonly heardAtMs: number;
+  readonly seenAtMs: number;
 }
 
 /** Known nodes by IP address. */
 export class NodeDirectory implements LogPeers {
   private readonly nodes = new Map<string, KnownNode>();
-  private readonly links = new Map<string, LogPeer>();
+  private readonly peers = new Map<string, LogPeer>();
   private lastRevision = 0;
 
   constructor(
@@ -39,33 +39,33 @@
   }
 
   /** Notes nodes that were heard of just now. */
-  note(infos: readonly NodeInfo[]): void {
+  markSeen(infos: readonly NodeInfo[]): void {
     for (const info of infos) {
       if (info.ip === this.self.ip) continue;
       if (!this.nodes.has(info.ip)) this.lastRevision++;
-      this.nodes.set(info.ip, {info, heardAtMs: this.nowMs()});
+      this.nodes.set(info.ip, {info, seenAtMs: this.nowMs()});
     }
   }
 
   /** Counts up with each node that is found or forgotten. */
   get revision(): number {
-    this.forgetOld();
+    this.evictExpired();
     return this.lastRevision;
   }
 
   /** Notes nodes that another one named; it may have heard of them long ago. */
-  learn(infos: readonly NodeInfo[]): void {
-    this.note(infos.filter(({ip}) => !this.nodes.has(ip)));
+  addUnknown(infos: readonly NodeInfo[]): void {
+    this.markSeen(infos.filter(({ip}) => !this.nodes.has(ip)));
   }
 
   /** All nodes known, this one included. */
   all(): readonly NodeInfo[] {
-    this.forgetOld();
+    this.evictExpired();
     return [this.self, ...[...this.nodes.values()].map(({info}) => info)];
   }
 
   /** Addresses to ask when the leader is not known, this one excluded. */
-  candidates(): readonly string[] {
+  probeAddresses(): readonly string[] {
     const known = this.all().map(({ip}) => ip);
     const ips = new Set([...this.seeds, ...known]);
     ips.delete(this.self.ip);
@@ -82,16 +82,16 @@
   /** Any address can be asked: a voter may be known from the log alone. */
   find(ip: string): LogPeer | undefined {
     if (ip === this.self.ip) return undefined;
-    const known = this.links.get(ip);
+    const known = this.peers.get(ip);
     if (known !== undefined) return known;
-    const link = this.connect(ip);
-    this.links.set(ip, link);
-    return link;
+    const peer = this.connect(ip);
+    this.peers.set(ip, peer);
+    return peer;
   }
 
-  private forgetOld(): void {
-    const oldest = this.nowMs() - FORGET_AFTER_MS;
-    for (const [ip, {heardAtMs}] of this.nodes)
-      if (heardAtMs < oldest && this.nodes.delete(ip)) this.lastRevision++;
+  private evictExpired(): void {
+    const oldest = this.nowMs() - EXPIRE_AFTER_MS;
+    for (const [ip, {seenAtMs}] of this.nodes)
+      if (seenAtMs < oldest && this.nodes.delete(ip)) this.lastRevision++;
   }
 }
--- a/src/cluster/nodeReports.ts
+++ b/src/cluster/nodeReports.ts
@@ -6,9 +6,9 @@
 import type {NodeInfo, ServiceLoad, SyncParams} from './messages';
 
 /** A node that did not report for so long gets no share. */
-const ACTIVE_FOR_MS = 2_000;
+const ACTIVE_WITHIN_MS = 2_000;
 /** A node that missed so many reports may be lost. */
-const RECENT_PERIODS = 4;
+const RECENT_REPORT_PERIODS = 4;
 /** Part of an older count of arrivals that stays with each report. */
 const ARRIVALS_DECAY = 0.7;
 
@@ -39,13 +39,13 @@
     return reportPeriodMs(this.reports.size);
   }
 
-  note({from, bootId, loads: fresh}: SyncParams, nowMs: number): void {
-    const before = this.reports.get(from.ip);
-    const loads = new Map(fresh.map(load => [load.service, load]));
+  add({from, bootId, loads: reported}: SyncParams, nowMs: number): void {
+    const previous = this.reports.get(from.ip);
+    const loads = new Map(reported.map(load => [load.service, load]));
     const arrivals = new Map<string, number>();
-    for (const {service, arrivals: count} of fresh) {
-      const old = before?.arrivals.get(service) ?? 0;
-      arrivals.set(service, old * ARRIVALS_DECAY + count);
+    for (const {service, arrivals: count} of reported) {
+      const smoothed = previous?.arrivals.get(service) ?? 0;
+      arrivals.set(service, smoothed * ARRIVALS_DECAY + count);
     }
     const {ip} = from;
     this.reports.set(ip, {info: from, bootId, atMs: nowMs, loads, arrivals});
@@ -53,16 +53,16 @@
 
   /** Those of nodes that serve callers now. */
   active(nowMs: number): readonly NodeReport[] {
-    return this.since(nowMs - ACTIVE_FOR_MS);
+    return this.reportedSince(nowMs - ACTIVE_WITHIN_MS);
   }
 
   /** Nodes whose reports are fresh. */
   recentNodes(nowMs: number): readonly NodeInfo[] {
-    const oldestMs = nowMs - RECENT_PERIODS * this.periodMs;
-    return this.since(oldestMs).map(({info}) => info);
+    const oldestMs = nowMs - RECENT_REPORT_PERIODS * this.periodMs;
+    return this.reportedSince(oldestMs).map(({info}) => info);
   }
 
-  private since(oldestMs: number): readonly NodeReport[] {
+  private reportedSince(oldestMs: number): readonly NodeReport[] {
     return [...this.reports.values()].filter(({atMs}) => atMs >= oldestMs);
   }
 }
--- a/src/cluster/peerDiscovery.ts
+++ b/src/cluster/peerDiscovery.ts
@@ -13,12 +13,12 @@
 /** Peers probed at once while no leader is known. */
 const CONCURRENT_PROBES = 3;
 /** Between two announcements of the leader to the seeds. */
-const SEEDS_PERIOD_MS = 500;
+const SEED_ANNOUNCE_INTERVAL_MS = 500;
 
 /** Probes peers; answers go into the directory. */
 export class PeerDiscovery {
-  private next = 0;
-  private seedsAtMs = -Infinity;
+  private nextIndex = 0;
+  private announcedAtMs = -Infinity;
 
   constructor(
     private readonly directory: NodeDirectory,
@@ -28,18 +28,18 @@
 
   /** Asks some peers for the nodes that they know, in rotation. */
   probePeers(): void {
-    const candidates = this.directory.candidates();
-    const count = Math.min(CONCURRENT_PROBES, candidates.length);
+    const addresses = this.directory.probeAddresses();
+    const count = Math.min(CONCURRENT_PROBES, addresses.length);
     for (let i = 0; i < count; i++) {
-      const ip = candidates[this.next++ % candidates.length];
+      const ip = addresses[this.nextIndex++ % addresses.length];
       if (ip !== undefined) void this.probe(ip);
     }
   }
 
   /** For the leader: announces this node to the seeds when due. */
   announceToSeeds(nowMs: number): void {
-    if (nowMs - this.seedsAtMs < SEEDS_PERIOD_MS) return;
-    this.seedsAtMs = nowMs;
+    if (nowMs - this.announcedAtMs < SEED_ANNOUNCE_INTERVAL_MS) return;
+    this.announcedAtMs = nowMs;
     const {self} = this.directory;
     for (const ip of this.directory.seedAddresses())
       if (ip !== self.ip) void this.probe(ip);
@@ -48,15 +48,15 @@
   private async probe(ip: string): Promise<void> {
     const params = {from: this.directory.self};
     try {
-      const answer = await this.rpc.call(
+      const result = await this.rpc.call(
         ip,
         NODE_METHODS.hello,
         params,
         HELLO_TIMEOUT_MS
       );
-      const reply = HELLO_REPLY.parse(answer);
-      this.directory.note([reply.self]);
-      this.directory.learn(reply.nodes);
+      const reply = HELLO_REPLY.parse(result);
+      this.directory.markSeen([reply.self]);
+      this.directory.addUnknown(reply.nodes);
     } catch (err) {
       this.logger.debug({event: 'node.silent', ip, err: String(err)}, ip);
     }
--- a/src/cluster/rpcClient.ts
+++ b/src/cluster/rpcClient.ts
@@ -9,17 +9,17 @@
  * Idle connections end after this. Longer than the pause between two syncs, so
  * that those share one connection.
  */
-const IDLE_MS = 5_000;
+const IDLE_TIMEOUT_MS = 5_000;
 /** Calls to one node at a time; the log alone may have a few on their way. */
-const MAX_SOCKETS = 8;
-const OK = 200;
+const MAX_SOCKETS_PER_NODE = 8;
+const HTTP_OK = 200;
 
 /** Calls methods of other nodes by their IP address. */
 export class RpcClient {
   private readonly agent = new http.Agent({
     keepAlive: true,
-    maxSockets: MAX_SOCKETS,
-    timeout: IDLE_MS,
+    maxSockets: MAX_SOCKETS_PER_NODE,
+    timeout: IDLE_TIMEOUT_MS,
   });
 
   /** All nodes of a deployment listen on the same port. */
@@ -67,7 +67,7 @@
         res.on('error', fail);
         res.on('end', () => {
           clearTimeout(timer);
-          if (res.statusCode === OK && res.complete)
+          if (res.statusCode === HTTP_OK && res.complete)
             resolve(Buffer.concat(chunks).toString('utf8'));
           else fail(new Error(`status ${res.statusCode}`));
         });
@@ -76,9 +76,9 @@
         fail(new Error(`no answer within ${timeoutMs} ms`), true);
         req.destroy();
       }, timeoutMs);
-      function fail(err: Error, late = false): void {
+      function fail(err: Error, isTimeout = false): void {
         clearTimeout(timer);
-        const kind = late ? ('timeout' as const) : ('lost' as const);
+        const kind = isTimeout ? ('timeout' as const) : ('lost' as const);
         reject(new PeerError({kind}, 'rpc', ip, err.message));
       }
       req.on('error', fail);
--- a/src/cluster/rpcServer.ts
+++ b/src/cluster/rpcServer.ts
@@ -10,7 +10,7 @@
 /** A snapshot of the log comes in chunks of 1 MiB characters. */
 const MAX_BODY_BYTES = 8 << 20;
 /** Longer than the caller keeps an idle connection, which therefore closes first. */
-const IDLE_MS = 15_000;
+const IDLE_TIMEOUT_MS = 15_000;
 
 /** The internal port of a node. */
 export class RpcServer {
@@ -23,7 +23,7 @@
   });
 
   constructor(private readonly logger: Logger) {
-    this.server.keepAliveTimeout = IDLE_MS;
+    this.server.keepAliveTimeout = IDLE_TIMEOUT_MS;
   }
 
   /** Parameters are validated here, once. */
--- a/src/cluster/serviceGroups.ts
+++ b/src/cluster/serviceGroups.ts
@@ -18,7 +18,7 @@
 import {inFlightOf} from './nodeReports';
 
 /** Requests at a plain target beside those in work: its next ones are there. */
-const PLAIN_QUEUE = 1;
+const QUEUED_PER_PLAIN_SLOT = 1;
 
 /** What the concurrency of a service rests on. */
 export interface ConcurrencyInput {
@@ -28,7 +28,7 @@
   readonly loads: readonly ServiceLoad[];
   readonly goals: StreamGoals;
   /** Whether all nodes have reported their loads. */
-  readonly isWhole: boolean;
+  readonly allNodesReported: boolean;
   /** Undefined where nobody orders the maps of the group. */
   outlookOf(group: string): MapOutlook | undefined;
   readonly nowMs: number;
@@ -43,7 +43,7 @@
 }
 
 /** Concurrency of a service now; to be asked once each period of reports. */
-export function concurrencyOf(
+export function computeConcurrency(
   limits: GroupLimits,
   input: ConcurrencyInput
 ): ServiceConcurrency {
@@ -51,32 +51,38 @@
   const targets = permitTargets(service, records);
   const {engine} = service;
   if (engine === undefined || goals.pauseMs === 0)
-    return {total: capacityOf(targets), targets, groups: []};
+    return {total: totalCapacity(targets), targets, groups: []};
   const loads = groupLoads(targets, input, engine);
-  const {isWhole, nowMs} = input;
-  const found = limits.next({engine, goals, groups: loads, isWhole, nowMs});
+  const {allNodesReported: isWhole, nowMs} = input;
+  const limitsByGroup = limits.next({
+    engine,
+    goals,
+    groups: loads,
+    isWhole,
+    nowMs,
+  });
   const groups = loads.flatMap(load => {
-    const limit = found.get(load.name);
+    const limit = limitsByGroup.get(load.name);
     return limit === undefined ? [] : [{...load, ...limit}];
   });
   // What runs in a group beyond its limit takes nothing from the other groups.
-  const isShared = groups.length > 1;
+  const hasSeveralGroups = groups.length > 1;
   const total = sum(
     groups.map(({concurrency, running}) =>
-      isShared ? Math.max(concurrency, running) : concurrency
+      hasSeveralGroups ? Math.max(concurrency, running) : concurrency
     )
   );
   return {total, targets, groups};
 }
 
 /** What bounds the group that is bound most; undefined where none is known. */
-export function tightestBound({
+export function tightestLimitReason({
   groups,
 }: ServiceConcurrency): LimitReason | undefined {
-  const byFill = [...groups].sort(
+  const byAllowedRatio = [...groups].sort(
     (a, b) => a.concurrency / a.slots - b.concurrency / b.slots
   );
-  return byFill[0]?.reason;
+  return byAllowedRatio[0]?.reason;
 }
 
 /** Targets of a service and the requests that each takes at once. */
@@ -84,10 +90,11 @@
   service: SiteService,
   records: readonly TargetRecord[]
 ): readonly PermitTarget[] {
-  const queued = service.engine === undefined ? 1 + PLAIN_QUEUE : 1;
-  return workingTargets(service.name, records).map(record => ({
+  const requestsPerSlot =
+    service.engine === undefined ? 1 + QUEUED_PER_PLAIN_SLOT : 1;
+  return usableTargets(service.name, records).map(record => ({
     id: record.id,
-    capacity: record.slots * queued,
+    capacity: record.slots * requestsPerSlot,
     availabilityZone: record.availabilityZone,
     group: groupNameOf(record),
   }));
@@ -105,15 +112,15 @@
     members.push(target);
   }
   // Requests at targets that fell out count with what works: they come back.
-  const isAlone = byGroup.size === 1;
+  const isOnlyGroup = byGroup.size === 1;
   const running = runningByGroup(targets, loads);
   return [...byGroup].map(([name, members]) => ({
     name,
     ranks: members.length,
-    slots: capacityOf(members),
-    running: isAlone ? inFlightOf(loads) : (running.get(name) ?? 0),
-    paceMs: medianPace(loads, name),
-    outlook: outlookOf(name) ?? unknownOutlook(engine),
+    slots: totalCapacity(members),
+    running: isOnlyGroup ? inFlightOf(loads) : (running.get(name) ?? 0),
+    paceMs: medianPassMs(loads, name),
+    outlook: outlookOf(name) ?? defaultOutlook(engine),
   }));
 }
 
@@ -134,27 +141,27 @@
 }
 
 /** One node that reads slowly must not stand for the group; 0 when none runs. */
-export function medianPace(
+export function medianPassMs(
   loads: readonly ServiceLoad[],
   group: string
 ): number {
-  const paces = loads
+  const durationsMs = loads
     .map(({pacesMs}) => pacesMs[group] ?? 0)
     .filter(ms => ms > 0)
     .sort((a, b) => a - b);
-  return paces[Math.floor(paces.length / 2)] ?? 0;
+  return durationsMs[Math.floor(durationsMs.length / 2)] ?? 0;
 }
 
-function capacityOf(targets: readonly PermitTarget[]): number {
+function totalCapacity(targets: readonly PermitTarget[]): number {
   return sum(targets.map(({capacity}) => capacity));
 }
 
 /** After an outage a group forms anew before anybody orders its maps. */
-function unknownOutlook({expertSets}: EngineProfile): MapOutlook {
+function defaultOutlook({expertSets}: EngineProfile): MapOutlook {
   return expertSets > 0 ? FIRST_MAP_OUTLOOK : EVEN_OUTLOOK;
 }
 
-function workingTargets(
+function usableTargets(
   service: string,
   records: readonly TargetRecord[]
 ): readonly TargetRecord[] {
--- a/src/cluster/targetTable.ts
+++ b/src/cluster/targetTable.ts
@@ -7,14 +7,14 @@
 import type {TargetRecord} from '../site/announcement';
 
 /** Records of targets that left stay, so that late announcements are known as such. */
-const KEEP_GONE_MS = 60_000;
+const KEEP_ABSENT_MS = 60_000;
 
 interface Entry {
   readonly record: TargetRecord;
   /** Number of the change that brought the record into its present form. */
   readonly revision: number;
   /** Local clock when it last told of itself. */
-  readonly heardAtMs: number;
+  readonly seenAtMs: number;
 }
 
 /** Records by id, with the newest life at each address. */
@@ -39,7 +39,7 @@
   }
 
   /** Records that changed after a revision. */
-  since(revision: number): readonly TargetRecord[] {
+  changedSince(revision: number): readonly TargetRecord[] {
     if (revision === this.lastRevision) return [];
     return [...this.entries.values()]
       .filter(entry => entry.revision > revision)
@@ -50,16 +50,16 @@
   merge(record: TargetRecord, nowMs: number): boolean {
     const known = this.entries.get(record.id);
     if (known !== undefined && !isNewer(record, known.record)) return false;
-    if (record.state !== 'gone' && this.isOvertaken(record)) return false;
-    const changed = known === undefined || !sameUse(known.record, record);
+    if (record.state !== 'gone' && this.isSuperseded(record)) return false;
+    const changed = known === undefined || !isEquivalent(known.record, record);
     const revision = changed ? ++this.lastRevision : known.revision;
-    this.set({record, revision, heardAtMs: nowMs});
-    if (changed) this.endEarlierLives(record, nowMs);
+    this.set({record, revision, seenAtMs: nowMs});
+    if (changed) this.retireEarlierBoots(record, nowMs);
     return true;
   }
 
   /** Takes over the leader's view, unless more is known here already. */
-  adopt(record: TargetRecord, nowMs: number): void {
+  mergeFromLeader(record: TargetRecord, nowMs: number): void {
     const known = this.entries.get(record.id)?.record;
     if (known !== undefined) {
       if (record.bornMs < known.bornMs) return;
@@ -68,7 +68,7 @@
       if (isOlder && record.state !== 'gone') return;
       if (known.state === 'gone' && record.bornMs === known.bornMs) return;
     }
-    this.put(record, nowMs);
+    this.putChange(record, nowMs);
   }
 
   /** Notes that a target said goodbye; ignored when the id is not known. */
@@ -76,30 +76,30 @@
     const known = this.entries.get(id)?.record;
     if (known === undefined) return undefined;
     const record: TargetRecord = {...known, state: 'gone'};
-    if (known.state !== 'gone') this.put(record, nowMs);
+    if (known.state !== 'gone') this.putChange(record, nowMs);
     return record;
   }
 
   /** Counts all targets as heard of now; what left or fell silent stays so. */
-  hearAll(nowMs: number): void {
+  markAllSeen(nowMs: number): void {
     for (const [id, entry] of this.entries)
-      this.entries.set(id, {...entry, heardAtMs: nowMs});
+      this.entries.set(id, {...entry, seenAtMs: nowMs});
   }
 
   /** Marks those silent that told nothing for a while. */
   expire(nowMs: number, silentAfterMs: number): void {
-    for (const [id, {record, heardAtMs}] of this.entries) {
-      const age = nowMs - heardAtMs;
-      const isHere = record.state === 'ready' || record.state === 'draining';
-      if (isHere && age >= silentAfterMs)
-        this.put({...record, state: 'silent'}, heardAtMs);
-      if (!isHere && age >= KEEP_GONE_MS) this.delete(id);
+    for (const [id, {record, seenAtMs}] of this.entries) {
+      const age = nowMs - seenAtMs;
+      const isPresent = record.state === 'ready' || record.state === 'draining';
+      if (isPresent && age >= silentAfterMs)
+        this.putChange({...record, state: 'silent'}, seenAtMs);
+      if (!isPresent && age >= KEEP_ABSENT_MS) this.delete(id);
     }
   }
 
-  private put(record: TargetRecord, heardAtMs: number): void {
+  private putChange(record: TargetRecord, seenAtMs: number): void {
     const revision = ++this.lastRevision;
-    this.set({record, revision, heardAtMs});
+    this.set({record, revision, seenAtMs});
   }
 
   private set(entry: Entry): void {
@@ -128,15 +128,15 @@
   }
 
   /** Whether a later life is known at the same address. */
-  private isOvertaken(record: TargetRecord): boolean {
+  private isSuperseded(record: TargetRecord): boolean {
     return this.othersAt(record).some(({bornMs}) => bornMs > record.bornMs);
   }
 
   /** An address belongs to the life that began last. */
-  private endEarlierLives(record: TargetRecord, nowMs: number): void {
+  private retireEarlierBoots(record: TargetRecord, nowMs: number): void {
     for (const other of this.othersAt(record))
       if (other.bornMs < record.bornMs && other.state !== 'gone')
-        this.put({...other, state: 'gone'}, nowMs);
+        this.putChange({...other, state: 'gone'}, nowMs);
   }
 }
 
@@ -152,7 +152,7 @@
 }
 
 /** Whether nobody would act otherwise on the one than on the other. */
-function sameUse(a: TargetRecord, b: TargetRecord): boolean {
+function isEquivalent(a: TargetRecord, b: TargetRecord): boolean {
   return (
     a.bornMs === b.bornMs &&
     a.state === b.state &&
--- a/src/site/groupOpenings.ts
+++ b/src/site/groupOpenings.ts
@@ -8,18 +8,18 @@
 import type {TargetRecord} from './announcement';
 
 /** One group as its ranks tell it. */
-export interface GroupOpening {
+export interface GroupStatus {
   /** Newest epoch that a rank told of. */
   readonly epoch: number;
   readonly isOpen: boolean;
 }
 
 /** Groups by name. */
-export type GroupOpenings = ReadonlyMap<string, GroupOpening>;
+export type GroupStatuses = ReadonlyMap<string, GroupStatus>;
 
 /** Goes by the newest epoch; within one, a group only ever breaks. */
-export function groupOpenings(records: readonly TargetRecord[]): GroupOpenings {
-  const openings = new Map<string, GroupOpening>();
+export function groupOpenings(records: readonly TargetRecord[]): GroupStatuses {
+  const openings = new Map<string, GroupStatus>();
   for (const {group, state} of records) {
     if (group === undefined || state === 'gone') continue;
     const known = openings.get(group.name);
@@ -34,7 +34,7 @@
 /** Whether the target works alone, or its group is open. */
 export function isInOpenGroup(
   {group}: TargetRecord,
-  openings: GroupOpenings
+  openings: GroupStatuses
 ): boolean {
   return group === undefined || openings.get(group.name)?.isOpen === true;
 }
--- a/tests/coordinator.spec.ts
+++ b/tests/coordinator.spec.ts
@@ -149,8 +149,8 @@
   it('should tell the pace from the streams of other nodes', () => {
     const {sync, coordinator} = fixture();
     sync('leader', 0, [], 0);
-    expect(coordinator.paceMs('s', '')).toBe(0);
+    expect(coordinator.passMs('s', '')).toBe(0);
     sync('n1', 4, [], 60);
-    expect(coordinator.paceMs('s', '')).toBe(60);
+    expect(coordinator.passMs('s', '')).toBe(60);
   });
 });
--- a/tests/reports.spec.ts
+++ b/tests/reports.spec.ts
@@ -1,5 +1,5 @@
-import {HeardRecords} from '../src/cluster/heardRecords';
-import {LeaderProgress} from '../src/cluster/leaderProgress';
+import {LocalAnnouncements} from '../src/cluster/heardRecords';
+import {SyncCursor} from '../src/cluster/leaderProgress';
 import type {SyncState} from '../src/cluster/messages';
 import {NodeDirectory} from '../src/cluster/nodeDirectory';
 import {reportPeriodMs} from '../src/policy/reportPeriod';
@@ -52,49 +52,49 @@
   // A new leader is told by every node of all targets: nodes times targets
   // records at once, while callers wait for it.
   it('should tell a new leader only of targets that were heard here lately', () => {
-    const heard = new HeardRecords();
-    heard.note(record('old'), 0);
-    heard.note(record('new'), 8_000);
-    heard.take();
-    heard.tellAgain(10_000);
-    expect(heard.take().map(({id}) => id)).toEqual(['new']);
+    const heard = new LocalAnnouncements();
+    heard.add(record('old'), 0);
+    heard.add(record('new'), 8_000);
+    heard.takeUnsent();
+    heard.requeueRecent(10_000);
+    expect(heard.takeUnsent().map(({id}) => id)).toEqual(['new']);
   });
 
   // The leader that knew of it is lost. A target that leaves would get requests
   // again that it must not get any more.
   it('should tell a new leader of targets that left, for as long as it matters', () => {
-    const heard = new HeardRecords();
-    heard.note(record('left', 'gone'), 0);
-    heard.note(record('leaving', 'draining'), 0);
-    heard.take();
-    heard.tellAgain(50_000);
-    expect(heard.take().map(({id}) => id)).toEqual(['left', 'leaving']);
+    const heard = new LocalAnnouncements();
+    heard.add(record('left', 'gone'), 0);
+    heard.add(record('leaving', 'draining'), 0);
+    heard.takeUnsent();
+    heard.requeueRecent(50_000);
+    expect(heard.takeUnsent().map(({id}) => id)).toEqual(['left', 'leaving']);
   });
 
   it('should keep what a leader may not have received, but nothing outdated', () => {
-    const heard = new HeardRecords();
-    heard.note(record('a'), 0);
-    const taken = heard.take();
-    heard.note(record('a', 'draining'), 10);
-    heard.putBack(taken);
-    expect(heard.take().map(one => one.state)).toEqual(['draining']);
+    const heard = new LocalAnnouncements();
+    heard.add(record('a'), 0);
+    const taken = heard.takeUnsent();
+    heard.add(record('a', 'draining'), 10);
+    heard.requeue(taken);
+    expect(heard.takeUnsent().map(one => one.state)).toEqual(['draining']);
   });
 
   // A late answer of an old leader must not take a node back.
   it('should take no answer of an older leader or position', () => {
-    const progress = new LeaderProgress();
-    expect(progress.note(state({term: 3, index: 9}), 0)).toBe(true);
-    expect(progress.isOlder(state({term: 2, index: 20}))).toBe(true);
-    expect(progress.isOlder(state({term: 3, index: 8}))).toBe(true);
-    expect(progress.isOlder(state({term: 4, index: 9}))).toBe(false);
+    const progress = new SyncCursor();
+    expect(progress.advance(state({term: 3, index: 9}), 0)).toBe(true);
+    expect(progress.isStale(state({term: 2, index: 20}))).toBe(true);
+    expect(progress.isStale(state({term: 3, index: 8}))).toBe(true);
+    expect(progress.isStale(state({term: 4, index: 9}))).toBe(false);
   });
 
   it('should ask for the list of nodes again before they are forgotten', () => {
-    const progress = new LeaderProgress();
+    const progress = new SyncCursor();
     const nodes = [{ip: '10.0.0.2', hasDisk: true}];
-    progress.note(state({nodes, nodesRevision: 4}), 0);
-    expect(progress.params(1_000).nodesRevision).toBe(4);
-    expect(progress.params(6_000).nodesRevision).toBeUndefined();
+    progress.advance(state({nodes, nodesRevision: 4}), 0);
+    expect(progress.reportParams(1_000).nodesRevision).toBe(4);
+    expect(progress.reportParams(6_000).nodesRevision).toBeUndefined();
   });
 
   it('should number the nodes that are found and forgotten', () => {
@@ -105,10 +105,10 @@
       send: () => Promise.reject(new Error('none')),
     });
     const directory = new NodeDirectory(self, [], none, () => nowMs);
-    directory.note([{ip: '10.0.0.2', hasDisk: false}]);
+    directory.markSeen([{ip: '10.0.0.2', hasDisk: false}]);
     const {revision} = directory;
     nowMs = 5_000;
-    directory.note([{ip: '10.0.0.2', hasDisk: false}]);
+    directory.markSeen([{ip: '10.0.0.2', hasDisk: false}]);
     expect(directory.revision).toBe(revision);
     nowMs = 60_000;
     expect(directory.revision).toBeGreaterThan(revision);
--- a/tests/serviceGroups.spec.ts
+++ b/tests/serviceGroups.spec.ts
@@ -1,4 +1,4 @@
-import {concurrencyOf} from '../src/cluster/serviceGroups';
+import {computeConcurrency} from '../src/cluster/serviceGroups';
 import {GroupLimits} from '../src/policy/groupLimits';
 import type {ServiceLoad} from '../src/cluster/messages';
 import type {MapOutlook} from '../src/policy/mapOutlook';
@@ -76,12 +76,12 @@
     let places = 0;
     for (let i = 0; i < 1_000 / STEP_MS; i++) {
       nowMs += STEP_MS;
-      places = concurrencyOf(limits, {
+      places = computeConcurrency(limits, {
         service: SERVICE,
         records: RECORDS,
         loads: [load],
         goals: {pauseMs: PAUSE_MS, firstEventMs: 0},
-        isWhole,
+        allNodesReported: isWhole,
         outlookOf: () => ({
           skew: 1.2,
           shiftSkew: 0,
@@ -140,12 +140,12 @@
       byTarget: {},
       pacesMs: {},
     };
-    const places = concurrencyOf(new GroupLimits(), {
+    const places = computeConcurrency(new GroupLimits(), {
       service: SERVICE,
       records: RECORDS,
       loads: [load],
       goals: {pauseMs: PAUSE_MS, firstEventMs: 0},
-      isWhole: false,
+      allNodesReported: false,
       outlookOf: () => undefined,
       nowMs: 0,
     }).total;
--- a/tests/targetTable.spec.ts
+++ b/tests/targetTable.spec.ts
@@ -62,6 +62,8 @@
     table.merge(record({sequence: 2}), 1);
     expect(table.revision).toBe(revision);
     table.merge(record({sequence: 3, state: 'draining'}), 2);
-    expect(table.since(revision).map(({state}) => state)).toEqual(['draining']);
+    expect(table.changedSince(revision).map(({state}) => state)).toEqual([
+      'draining',
+    ]);
   });
 });
