--- a/src/site/announcement.ts
+++ b/src/site/announcement.ts
@@ -1,23 +1,23 @@
-/** What a target tells of itself. */
+/** Announcements of targets, and the records that nodes keep of them. */
 
-/** A group of ranks that step together, as one of its ranks tells it. */
+/** Membership in a group of ranks that run in lock-step, as a rank reports it. */
 export interface GroupMembership {
   readonly name: string;
-  /** Counts up each time the group forms anew. */
+  /** Increases each time the group re-forms. */
   readonly epoch: number;
   readonly rank: number;
   /** Ranks of the whole group. */
   readonly size: number;
-  /** Whether all ranks are there and work together. */
+  /** Whether all ranks are present and work together. */
   readonly open: boolean;
 }
 
-/** One announcement; a later one of the same life replaces it. */
+/** One announcement; a later one of the same boot replaces it. */
 export interface TargetAnnouncement {
   readonly id: string;
-  /** Start of this life, Unix milliseconds; orders lives under one id. */
+  /** Start of this boot, Unix milliseconds; orders the boots of one id. */
   readonly bornMs: number;
-  /** Counts up within one life. */
+  /** Increases within one boot. */
   readonly sequence: number;
   readonly service: string;
   /** HOST:PORT */
@@ -25,13 +25,13 @@
   readonly availabilityZone: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** How much longer it stays cold, milliseconds; 0 when warm. */
+  /** Time until it is warm, milliseconds; 0 when warm. */
   readonly coldMs: number;
   /** Absent for targets that work alone. */
   readonly group?: GroupMembership;
 }
 
-/** A target as all nodes share it: its last announcement, or that it left. */
+/** A target as nodes share it: its last announcement, or that it is lost. */
 export type TargetRecord = Omit<TargetAnnouncement, 'state'> & {
   readonly state: 'ready' | 'draining' | 'silent' | 'gone';
 };
--- a/src/site/groupOpenings.ts
+++ b/src/site/groupOpenings.ts
@@ -1,23 +1,23 @@
 /**
- * Whether groups of ranks work, from what their ranks told last. A rank tells
- * of itself about once a second. A group is open or broken as a whole, so that
- * the first rank that tells of a change tells it for all: the others' word is
- * up to a heartbeat old.
+ * Whether groups of ranks are open, from the last announcements of their ranks.
+ * A rank announces itself about once a second. A group is open or broken as a
+ * whole, so the first rank that reports a change reports it for all; the other
+ * announcements are up to a heartbeat old.
  */
 
 import type {TargetRecord} from './announcement';
 
-/** One group as its ranks tell it. */
+/** Status of one group, as its ranks report it. */
 export interface GroupStatus {
-  /** Newest epoch that a rank told of. */
+  /** Latest epoch that a rank reported. */
   readonly epoch: number;
   readonly isOpen: boolean;
 }
 
-/** Groups by name. */
+/** Status of groups by name. */
 export type GroupStatuses = ReadonlyMap<string, GroupStatus>;
 
-/** Goes by the newest epoch; within one, a group only ever breaks. */
+/** Uses the latest epoch; within one, a group may break but never reopens. */
 export function groupOpenings(records: readonly TargetRecord[]): GroupStatuses {
   const openings = new Map<string, GroupStatus>();
   for (const {group, state} of records) {
--- a/src/site/packText.ts
+++ b/src/site/packText.ts
@@ -1,19 +1,19 @@
 /**
- * Site documents repeat themselves and travel often: between the instances of
- * the log and to every node. Deflated they take about a tenth of the bytes.
+ * Compression of site documents. They are repetitive and sent often: between the
+ * replicas of the log and to every node. Deflate reduces them to about a tenth.
  */
 
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
 /** Level 1 costs a third of the default's time at nearly the same size. */
-const LEVEL = 1;
+const DEFLATE_LEVEL = 1;
 
-/** Packs a text for messages and the log. */
+/** Compresses a text for messages and the log. */
 export function packText(text: string): string {
-  return deflateRawSync(text, {level: LEVEL}).toString('base64');
+  return deflateRawSync(text, {level: DEFLATE_LEVEL}).toString('base64');
 }
 
-/** The text that was packed. */
+/** Restores a text that `packText` compressed. */
 export function unpackText(packed: string): string {
   return inflateRawSync(Buffer.from(packed, 'base64')).toString('utf8');
 }
--- a/src/site/site.ts
+++ b/src/site/site.ts
@@ -1,21 +1,21 @@
 /**
- * A whole deployment as one document describes it: routes by host and path,
- * services and their engines, customers and their keys. Decoded once from the
- * text; everything inside the product reads these types.
+ * The site document, which describes a whole deployment: routes by host and
+ * path, services and their engines, customers and their keys. It is decoded once
+ * from its text; all other code uses these types.
  */
 
 import type {PassProfile} from '../core/passProfile';
 
-/** What may be done again when the outcome of a call is not known. */
+/** Whether a request may be retried when the outcome of an attempt is unknown. */
 export type Repeat =
   /** May run more than once. */
   | 'idempotent'
-  /** May run once at most. */
+  /** May run at most once. */
   | 'once'
-  /** A series of events; resumable ones may go on elsewhere after the last. */
+  /** A stream of events; if resumable, another target may continue it. */
   | 'stream';
 
-/** A service that takes part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   /** Share relative to the others, above 0. */
@@ -31,11 +31,11 @@
   readonly repeat: Repeat;
   /** Whether a stream may be continued by another target. */
   readonly resumable: boolean;
-  /** Longest time a caller is kept waiting, milliseconds. */
+  /** Longest time that a caller waits, milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that counts as good. */
+  /** Goal for the time to the response or first event, milliseconds. */
   readonly latencyTargetMs: number;
-  /** Longest pause between events that counts as good; 0 when not given. */
+  /** Goal for the longest pause between events, milliseconds; 0 when not given. */
   readonly gapTargetMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -43,7 +43,7 @@
   readonly split: readonly WeightedService[];
   /** Most targets to which one request may be sent. */
   readonly maxAttempts: number;
-  /** Whether no key is asked for. */
+  /** Whether callers need no key. */
   readonly isPublic: boolean;
 }
 
@@ -51,35 +51,35 @@
 export interface EngineProfile extends PassProfile {
   /** Requests that one rank works on at once. */
   readonly slots: number;
-  /** Sets of layers, each with experts of its own; 0 without experts. */
+  /** Sets of layers that have their own experts each; 0 without experts. */
   readonly expertSets: number;
   /** Experts of each set. */
   readonly experts: number;
-  /** Experts of a set that one rank can hold. */
+  /** Expert slots of one rank for each set. */
   readonly placesPerRank: number;
-  /** Experts of a set that one rank can load beside those in use. */
+  /** Experts of a set that one rank can load in addition to those in use. */
   readonly sparePlaces: number;
-  /** Time in which a rank copies one expert, milliseconds. */
+  /** Time that a rank takes to copy one expert, milliseconds. */
   readonly expertCopyMs: number;
-  /** Time for which reading a rank's counts holds up its group, milliseconds. */
+  /** Delay of the group when the counters of a rank are read, milliseconds. */
   readonly countsHoldMs: number;
-  /** Time to form a group anew, milliseconds. */
+  /** Time that a group takes to re-form, milliseconds. */
   readonly formMs: number;
 }
 
-/** A pool of like targets. */
+/** A pool of interchangeable targets. */
 export interface SiteService {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one target takes from all callers together. */
+  /** Connections that one target accepts in total. */
   readonly maxConnections: number;
-  /** Requests a second that a cold target bears; 0 when it is never cold. */
+  /** Requests per second that a cold target can take; 0 if it is never cold. */
   readonly coldRequestsPerSecond: number;
   /** Absent for plain services. */
   readonly engine?: EngineProfile;
 }
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits for what callers send: sizes, time for headers, idle time. */
 export interface RequestLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -87,25 +87,25 @@
   readonly idleTimeoutMs: number;
 }
 
-/** Who pays for requests, known by its keys. */
+/** A party that pays for requests, identified by its keys. */
 export interface SiteCustomer {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's priority; absent when the route's holds. */
+  /** Overrides the priority of the route, unless absent. */
   readonly priority?: number;
 }
 
-/** One version of the whole. */
+/** One version of the site document. */
 export interface Site {
   readonly version: number;
   readonly routes: readonly SiteRoute[];
   readonly services: ReadonlyMap<string, SiteService>;
   readonly limits: RequestLimits;
-  /** Empty when no keys are asked for. */
+  /** Empty when callers need no keys. */
   readonly customers: readonly SiteCustomer[];
 }
 
-/** A decoded document, or the first fault found in it. */
+/** A decoded document, or the first error found in it. */
 export type DecodedSite =
   | {readonly ok: true; readonly site: Site}
   | {readonly ok: false; readonly problem: string};
--- a/src/site/siteIndex.ts
+++ b/src/site/siteIndex.ts
@@ -16,16 +16,16 @@
       for (const key of customer.keys) this.byKey.set(key, customer);
   }
 
-  /** Whether callers must name themselves by a key. */
+  /** Whether callers must identify themselves by a key. */
   get asksForKeys(): boolean {
     return this.site.customers.length > 0;
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** The route with the longest prefix of the path. */
   findRoute(host: string, path: string): SiteRoute | undefined {
-    const name = host.replace(/:\d+$/, '').toLowerCase();
+    const hostName = host.replace(/:\d+$/, '').toLowerCase();
     return this.byHost
-      .get(name)
+      .get(hostName)
       ?.find(route => path.startsWith(route.pathPrefix));
   }
 
--- a/src/site/streamGoals.ts
+++ b/src/site/streamGoals.ts
@@ -1,4 +1,4 @@
-/** What callers of streams accept, by service. */
+/** Latency goals of streams, by service. */
 
 import type {Site} from './site';
 
@@ -10,10 +10,10 @@
   readonly firstEventMs: number;
 }
 
-/** A service without streams. */
+/** Goals of a service without streams. */
 export const NO_GOALS: StreamGoals = {pauseMs: 0, firstEventMs: 0};
 
-/** Goals of all services that streams go to. */
+/** Goals of all services that have stream routes. */
 export function streamGoals(site: Site): ReadonlyMap<string, StreamGoals> {
   const goals = new Map<string, StreamGoals>();
   for (const {repeat, gapTargetMs, latencyTargetMs, split} of site.routes) {
