--- a/src/cluster/agreedState.ts
+++ b/src/cluster/agreedState.ts
@@ -1,6 +1,6 @@
 /**
- * This node's part in what is agreed: the log on its disk, if it has one, or
- * calls to the node that leads.
+ * This node's replica of the log. Only nodes with a disk have one; the others
+ * call the leader.
  */
 
 import {distinctUntilChanged, map} from 'rxjs';
@@ -12,20 +12,28 @@
 import {ControlState} from '../control/state/controlState';
 import type {NodeDirectory} from './nodeDirectory';
 
-/** A snapshot is small; the disk of a node may hold no more than 64 MB. */
+/**
+ * Log bytes between two snapshots. Snapshots are small, and the disk of a node
+ * may hold no more than 64 MB.
+ */
 const SNAPSHOT_AFTER_BYTES = 8 << 20;
-/** Documents are large: a few hundred entries may fill the disk otherwise. */
+/**
+ * Entries kept behind a snapshot. Site documents are large: a few hundred of
+ * them may fill the disk.
+ */
 const TRAILING_ENTRIES = 64;
 /**
- * Twice the longest election timeout beyond the longest stay of a process that
- * is killed and started again: a voter that comes back keeps its vote.
+ * Silence after which a voter is removed. Exceeds the longest restart of a
+ * killed process by twice the longest election timeout, so that a voter that
+ * restarts keeps its vote.
  */
 const REMOVE_SILENT_VOTER_AFTER_MS = 8_000;
 /**
- * A leader that is lost, or a restart of all, leaves callers without a document
- * and targets without places until the next leader stands: 1.2 s with the usual
- * times of the log, half of it with these. A beat of 100 ms to a handful of
- * instances costs next to nothing; three fit into the shortest wait.
+ * Shorter than the defaults of the log. After the loss of the leader or a
+ * restart of all nodes, callers have no site document and targets get no grants
+ * until a leader is elected: 1.2 s with the defaults, half of it with these
+ * values. Heartbeats every 100 ms to a handful of voters cost next to nothing,
+ * and three of them fit into the shortest election timeout.
  */
 const LOG_TIMING: LogTiming = {
   heartbeatMs: 100,
@@ -35,29 +43,32 @@
   resendMs: 400,
   firstElectionMs: 250,
 };
-/** A disk that is full for seconds is found usable again within one more. */
+/**
+ * Delay before a failed log is opened again: a disk that was full for some
+ * seconds is in use again within one second of having space.
+ */
 const REOPEN_DELAY_MS = 700;
 
-/** What the log of a node is opened with. */
+/** Settings and dependencies of a log replica. */
 export interface LogReplicaOptions {
   readonly directory: NodeDirectory;
   readonly dataDir: string;
-  /** Nodes that found the group; nobody founds when empty. */
+  /** Nodes that form the first voter group; when empty, none is formed. */
   readonly founders: readonly string[];
   /** Whether the whole deployment starts for the first time. */
   readonly isFirstStart: boolean;
-  /** Instances whose loss at once is borne. */
+  /** Voters that may be lost at the same time without losing the quorum. */
   readonly lossesBorne: number;
   readonly logger: Logger;
-  /** Runs something later, unless the process stops before. */
+  /** Runs a callback after a delay, unless the process exits before. */
   readonly after: (ms: number, run: () => void) => void;
 }
 
 /**
- * The log of a node with a disk, and the state it drives. A disk that refuses
- * a write ends the log, not the process: requests can be served without it. It
- * is opened again from what the disk holds until that works, so that a disk
- * that was full for a while costs no vote for good.
+ * The log on a node's disk and the state machine that it drives. A failed write
+ * ends the log but not the process, which can serve requests without it. The
+ * log is reopened from disk until that succeeds, so that a disk that was full
+ * for a while does not cost the node its vote for good.
  */
 export class LogReplica {
   private constructor(
@@ -71,7 +82,7 @@
     return replica;
   }
 
-  /** Absent while the disk is out of order. */
+  /** Undefined while the log is not open, for example after a disk failure. */
   get current(): OpenLog | undefined {
     return this.opened;
   }
@@ -81,12 +92,12 @@
     return this.opened?.log.status().role === 'leader';
   }
 
-  /** The leader as this node knows it. */
+  /** Id of the leader that this log knows, if any. */
   get leader(): string | undefined {
     return this.opened?.log.status().leaderId;
   }
 
-  /** Hands over the lead and stops. */
+  /** Resigns if this node leads, and closes the log. */
   async close(): Promise<void> {
     const {opened} = this;
     this.opened = undefined;
@@ -121,7 +132,7 @@
     return {log, state};
   }
 
-  /** One line each time this node's part, the leader or the voters change. */
+  /** Logs each change of this node's role or vote, the leader or the voters. */
   private logStatusChanges(log: ReplicatedLog): void {
     log.status$
       .pipe(
@@ -149,13 +160,16 @@
     this.opened = undefined;
     this.options.logger.error(
       {event: 'disk.lost', err: String(err)},
-      'the disk refused a write; the log is opened again later'
+      `the log on disk failed; reopening it in ${REOPEN_DELAY_MS} ms`
     );
     this.options.after(REOPEN_DELAY_MS, () => {
       this.openLog().then(
         opened => {
           this.opened = opened;
-          this.options.logger.info({event: 'disk.regained'}, 'log open again');
+          this.options.logger.info(
+            {event: 'disk.regained'},
+            'the log is open again'
+          );
         },
         (reopenErr: unknown) => this.reopenLater(reopenErr)
       );
@@ -163,7 +177,7 @@
   }
 }
 
-/** A log that runs, and the state that it drives. */
+/** An open log and the state machine that it drives. */
 export interface OpenLog {
   readonly log: ReplicatedLog;
   readonly state: ControlState;
--- a/src/cluster/clusterNode.ts
+++ b/src/cluster/clusterNode.ts
@@ -1,7 +1,7 @@
 /**
- * A node's part in the cluster: who is there, what is agreed, what is known of
- * targets, and what this node may use. Everything a gateway needs to serve
- * stands in `view`, also while nobody else can be reached.
+ * A node as a member of the cluster: it knows the other nodes, the replicated
+ * state, the targets, and the concurrency granted to it. `view` and `table` hold
+ * all that a gateway needs, also while no other node can be reached.
  */
 
 import {Subscription, defer, repeat, timer} from 'rxjs';
@@ -48,23 +48,26 @@
 import {TargetTable} from './targetTable';
 import * as z from 'zod';
 
-/** A report that takes so long is worth no more than the next one. */
+/** After this long, the next report is worth as much as a late reply. */
 const SYNC_TIMEOUT_MS = 700;
 const LOG_TIMEOUT_MS = 1_000;
-/** A disk that cannot be opened is tried again after this. */
+/** Delay before a log that could not be opened is tried again. */
 const OPEN_RETRY_MS = 400;
-/** A commit waits for two syncs of a disk; slow ones take a quarter of a second. */
+/** A commit waits for two disk syncs; a slow one takes a quarter of a second. */
 const PROPOSE_TIMEOUT_MS = 2_500;
 const READ_TIMEOUT_MS = 1_500;
-/** Heartbeats missed before a target counts as silent, with one that is late. */
+/**
+ * Heartbeat periods without an announcement after which a target counts as
+ * silent; includes time for one that is late.
+ */
 const SILENT_AFTER_HEARTBEATS = 3.5;
 
-/** What the node is started with. */
+/** Settings and dependencies of a node. */
 export interface ClusterNodeOptions {
   readonly self: NodeInfo;
   readonly port: number;
   readonly seeds: readonly string[];
-  /** Empty without a disk. */
+  /** Folder of the log; empty for a node without a disk. */
   readonly dataDir: string;
   readonly isFirstStart: boolean;
   readonly lossesBorne: number;
@@ -73,11 +76,11 @@
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
   decodeSite(text: string): DecodedSite;
-  /** What this node sees of each service, since the last call. */
+  /** Loads by service; arrivals are counted since the last call. */
   takeLoads(): readonly ServiceLoad[];
 }
 
-/** What a gateway serves by. */
+/** State by which a gateway routes and admits requests. */
 export interface ClusterView {
   readonly index: SiteIndex | undefined;
   readonly zonesOut: ReadonlySet<string>;
@@ -170,12 +173,12 @@
     return this.current;
   }
 
-  /** Whether this node leads and knows all that was agreed before. */
+  /** Whether this node leads and has applied all earlier commits. */
   get leads(): boolean {
     return this.leaderService.isCaughtUp;
   }
 
-  /** Whether some node is known to lead. */
+  /** Whether a leader is known; it may be this node. */
   get knowsLeader(): boolean {
     return this.leaderClient.leader !== undefined;
   }
@@ -185,23 +188,23 @@
     return this.leaderService.term;
   }
 
-  /** On the leader: pace of a group as all nodes reported it; 0 when none runs. */
+  /** On the leader: median pass duration of a group; 0 when no stream runs. */
   paceMs(service: string, group: string): number {
     return this.coordinator.passMs(service, group);
   }
 
-  /** On the leader: requests of all nodes that run in a group. */
+  /** On the leader: running requests of all nodes in a group. */
   runningRequests(service: string, group: string): number {
     return this.coordinator.runningRequests(service, group);
   }
 
-  /** On the leader: other nodes that reported within the last moment. */
+  /** On the leader: other nodes with a recent report. */
   recentNodes(): readonly NodeInfo[] {
     const {self} = this.options;
     return this.coordinator.recentNodes().filter(({ip}) => ip !== self.ip);
   }
 
-  /** Answers calls of other nodes; parameters are validated by the schema. */
+  /** Registers an RPC method; its parameters are validated by the schema. */
   serve<T>(
     method: string,
     schema: z.ZodType<T>,
@@ -210,7 +213,7 @@
     this.server.addMethod(method, schema, handle);
   }
 
-  /** Calls another node; the answer is the caller's to validate. */
+  /** Calls an RPC method of another node; the caller validates the result. */
   callNode(
     ip: string,
     method: string,
@@ -220,7 +223,7 @@
     return this.rpc.call(ip, method, params, timeoutMs);
   }
 
-  /** Who knows of the expert maps while this node leads. */
+  /** Sets the source of map outlooks, which is used while this node leads. */
   useOutlook(
     of: (service: string, group: string) => MapOutlook | undefined
   ): void {
@@ -231,7 +234,7 @@
     this.directory.setSeeds(seeds);
   }
 
-  /** Takes in what a target told this node; false when it is outdated. */
+  /** Merges an announcement of a target; false when it is outdated. */
   hear(announcement: TargetAnnouncement): boolean {
     const now = performance.now();
     const isNew = this.table.merge(announcement, now);
@@ -239,14 +242,14 @@
     return isNew;
   }
 
-  /** Takes in the goodbye of a target. */
+  /** Marks a target that announced its departure as gone. */
   hearLeave(id: string): void {
     const now = performance.now();
     const record = this.table.leave(id, now);
     if (record !== undefined) this.heard.add(record, now);
   }
 
-  /** Resolves once the leader knows what was heard here; rejects when not. */
+  /** Reports now; resolves once the leader has this node's announcements. */
   async report(): Promise<void> {
     await this.syncOnce();
   }
@@ -265,7 +268,7 @@
     });
   }
 
-  /** The newest document, proven by a quorum; rejects when none can be had. */
+  /** The newest site document, confirmed by a quorum; rejects without one. */
   async readSite(): Promise<{version: number; text: string}> {
     const heldVersion = this.current.index?.site.version ?? NO_SITE_VERSION;
     const reply =
@@ -306,7 +309,7 @@
         after: (ms, run) => setTimeout(run, ms).unref(),
       });
     } catch (err) {
-      logger.error({event: 'disk.lost', err: String(err)}, 'no log here');
+      logger.error({event: 'disk.lost', err: String(err)}, 'cannot open log');
       setTimeout(() => void this.joinLog(), OPEN_RETRY_MS).unref();
     }
   }
@@ -337,7 +340,7 @@
     );
   }
 
-  /** Until the next report; one that took long is followed at once. */
+  /** Delay until the next report; 0 when the last one exceeded the period. */
   private get syncDelayMs(): number {
     const periodMs = reportPeriodMs(this.current.activeNodes);
     return Math.max(0, this.syncStartedAtMs + periodMs - performance.now());
@@ -350,7 +353,10 @@
       this.options.metrics.reported('done');
     } catch (err) {
       this.options.metrics.reported('failed');
-      this.options.logger.debug({event: 'sync.failed', err: String(err)}, '');
+      this.options.logger.debug(
+        {event: 'sync.failed', err: String(err)},
+        'report failed'
+      );
       this.peerDiscovery.probePeers();
     }
     if (this.leads) this.peerDiscovery.announceToSeeds(performance.now());
@@ -369,7 +375,7 @@
               reply: SYNC_REPLY,
               timeoutMs: SYNC_TIMEOUT_MS,
             });
-      if (reply.kind !== 'state') throw new Error('no leader');
+      if (reply.kind !== 'state') throw new Error('this node no longer leads');
       this.applyReply(reply);
     } catch (err) {
       this.heard.requeue(announcements);
@@ -394,8 +400,7 @@
     this.directory.markSeen(reply.nodes);
     if (this.progress.advance(reply, now)) this.heard.requeueRecent(now);
     if (!this.leads)
-      for (const record of reply.records)
-        this.table.mergeFromLeader(record, now);
+      for (const record of reply.records) this.table.mergeShared(record, now);
     this.current = {
       index: this.activeSite.update(reply.siteVersion, reply.packedSite),
       zonesOut: new Set(reply.zonesOut),
@@ -404,7 +409,7 @@
     };
   }
 
-  /** The site for the leader's own decisions. */
+  /** The active site, which the leader's decisions are based on. */
   get site(): Site | undefined {
     return this.current.index?.site;
   }
--- a/src/cluster/coordinator.ts
+++ b/src/cluster/coordinator.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader of the log does for all nodes besides: it merges what they
- * heard of targets, and allocates the concurrency of each service to them. All of
- * this is soft state; a new leader has it again after one report of each node.
+ * The leader's work beside the log: it merges the target records of all nodes
+ * and allocates the concurrency of each service to the nodes. All of this is
+ * soft state, which a new leader rebuilds from one report of each node.
  */
 
 import type {Logger} from '../core/logger';
@@ -23,27 +23,28 @@
 } from './serviceGroups';
 import type {TargetTable} from './targetTable';
 
-/** Between two looks for targets that fell silent. */
+/** Interval between two checks for silent targets. */
 const EXPIRE_CHECK_INTERVAL_MS = 50;
-/** Shares are worked out once for all nodes that report within this time. */
+/** Shares are computed once for all nodes that report within this time. */
 const SHARES_INTERVAL_MS = 50;
-/** A new leader has heard of the loads of all nodes after so many reports. */
+/** Report periods in which a new leader receives the loads of all nodes. */
 const REPORT_COLLECT_PERIODS = 4;
+
 /** How the concurrency of one service is allocated. */
 interface ServiceShares {
-  /** Requests at once by the address of the node. */
+  /** Concurrent requests by the address of the node. */
   readonly byNode: ReadonlyMap<string, number>;
   readonly free: number;
   readonly concurrency: ServiceConcurrency;
 }
 
-/** The nodes that are known, numbered by changes. */
+/** The known nodes, with a revision that increases with each change. */
 export interface NodeList {
   readonly revision: number;
   all(): readonly NodeInfo[];
 }
 
-/** Replicated state that answers carry along. */
+/** Replicated state that is part of each reply. */
 export interface ReplicatedView {
   readonly term: number;
   readonly index: number;
@@ -52,7 +53,7 @@
   readonly zonesOut: readonly string[];
 }
 
-/** The leader's side of the reports. */
+/** Handles the reports of nodes on the leader. */
 export class Coordinator {
   private readonly reports = new NodeReports();
   private readonly limits = new Map<string, GroupLimits>();
@@ -69,7 +70,7 @@
     private readonly nowMs: () => number,
     /** Silence after which a target counts as lost, milliseconds. */
     private readonly silentAfterMs: number,
-    /** What is known of the expert maps of a group of a service. */
+    /** Outlook of a group's map; undefined while nothing controls its maps. */
     private readonly outlookOf: (
       service: string,
       group: string
@@ -79,9 +80,10 @@
   }
 
   /**
-   * Another term began: forgets all reports. A node that did not lead heard
-   * only of changes, long ago of most targets; as a leader it would call them
-   * silent, and nobody had a target until each had told of itself again.
+   * Starts a new term: drops all reports and restarts the targets' silence
+   * timers. A follower receives only changed records, for most targets long ago.
+   * Without the restart, a new leader would mark these targets silent, and no
+   * node could use them until each had announced itself again.
    */
   reset(): void {
     this.reports.clear();
@@ -90,7 +92,7 @@
     this.resetAtMs = this.nowMs();
   }
 
-  /** Takes in a report and answers with the whole view. */
+  /** Handles a report; replies with what the node lacks of the view. */
   sync(
     params: SyncParams,
     replicated: ReplicatedView,
@@ -125,13 +127,13 @@
     };
   }
 
-  /** Pace of a group as the nodes reported it last; 0 when no stream runs. */
+  /** Median of the pass durations that nodes reported; 0 without streams. */
   passMs(service: string, group: string): number {
     const reports = this.reports.active(this.nowMs());
     return medianPassMs(loadsOf(service, reports), group);
   }
 
-  /** Requests of all nodes in a group, or at a service without groups. */
+  /** Running requests of all nodes in a group, or at an ungrouped service. */
   runningRequests(service: string, group: string): number {
     const groups = this.shares.get(service)?.concurrency.groups ?? [];
     const known = groups.find(({name}) => name === group);
@@ -139,7 +141,7 @@
     return inFlightOf(loadsOf(service, this.reports.active(this.nowMs())));
   }
 
-  /** Nodes whose reports are fresh. */
+  /** Nodes with a recent report. */
   recentNodes(): readonly NodeInfo[] {
     return this.reports.recentNodes(this.nowMs());
   }
@@ -184,8 +186,9 @@
     if (now - this.sharesUpdatedAtMs < SHARES_INTERVAL_MS) return;
     this.sharesUpdatedAtMs = now;
     const goals = streamGoals(site);
-    // Slots where nothing may be sent would let more requests in than the others
-    // can take; they would wait at the targets, unseen.
+    // Slots in zones that are out must not count: they would admit more requests
+    // than the other targets can run, and the rest would queue at the targets,
+    // where the balancer does not see them.
     const records = this.table
       .records()
       .filter(({availabilityZone}) => !zonesOut.includes(availabilityZone));
@@ -227,7 +230,7 @@
     const {targets, groups} = concurrency;
     const permits = this.permits.get(service) ?? new TargetPermits();
     this.permits.set(service, permits);
-    // The concurrency of all nodes together bounds a single group already.
+    // A single group is already bounded by the total of all nodes.
     const hasSeveralGroups = groups.length > 1;
     permits.setTargets(
       targets,
@@ -244,7 +247,7 @@
     );
   }
 
-  /** Undefined until all loads are known: what a node has stays as it is. */
+  /** Undefined until all nodes have reported; a node keeps its permits then. */
   private permitsOf(
     node: string,
     service: string
--- a/src/cluster/findFounders.ts
+++ b/src/cluster/findFounders.ts
@@ -1,7 +1,7 @@
 /**
- * Who founds the log when the whole deployment starts for the first time: those
- * of the seeds that have a disk. All nodes are given the same seeds then, so
- * that all come to the same answer, and only one group can be founded.
+ * Determines the first voters of the log when a deployment starts for the first
+ * time: the seeds that have a disk. All nodes have the same seeds at that time,
+ * so all of them choose the same founders, and only one group can form.
  */
 
 import {firstValueFrom, timer} from 'rxjs';
@@ -11,11 +11,11 @@
 import type {NodeDirectory} from './nodeDirectory';
 import type {RpcClient} from './rpcClient';
 
-/** Nodes start within a third of a second of each other, in any order. */
+/** Short: nodes start within a third of a second of each other, in any order. */
 const RETRY_INTERVAL_MS = 150;
 const HELLO_TIMEOUT_MS = 600;
 
-/** Resolves with the founders' addresses once every seed has answered. */
+/** Resolves with the founders' addresses once every seed has responded. */
 export async function findFounders(
   directory: NodeDirectory,
   rpc: RpcClient,
@@ -36,7 +36,10 @@
       );
       return foundersAmong(directory, seeds, replies);
     } catch (err) {
-      logger.debug({event: 'seeds.waiting', err: String(err)}, 'seed missing');
+      logger.debug(
+        {event: 'seeds.waiting', err: String(err)},
+        'some seeds do not respond yet'
+      );
       await firstValueFrom(timer(RETRY_INTERVAL_MS));
     }
   }
--- a/src/cluster/heardRecords.ts
+++ b/src/cluster/heardRecords.ts
@@ -1,10 +1,16 @@
-/** Records of targets that announced themselves at this node, for the leader. */
+/** Records of targets that announced themselves to this node, for the leader. */
 
 import type {TargetRecord} from '../site/announcement';
 
-/** A few heartbeats: a target that is here has told some node since. */
+/**
+ * Age up to which a ready target is reported to a new leader. A few heartbeats
+ * suffice: a target that is alive has announced itself to some node since.
+ */
 const RESEND_READY_FOR_MS = 5_000;
-/** That a target leaves must not be lost with the leader that knew it. */
+/**
+ * Age up to which a departure is reported to a new leader. It must not be lost
+ * with the leader that knew of it.
+ */
 const RESEND_LEAVING_FOR_MS = 60_000;
 
 interface TimedRecord {
@@ -12,15 +18,15 @@
   readonly atMs: number;
 }
 
-/** What the leader is to be told. */
+/** Records to send with the next report, and recent ones for a new leader. */
 export class LocalAnnouncements {
   private unsent = new Map<string, TargetRecord>();
   private readonly recent = new Map<string, TimedRecord>();
 
-  /** Notes what a target told this node. */
+  /** Adds the record of an announcement that this node received. */
   add(record: TargetRecord, nowMs: number): void {
     this.unsent.set(record.id, record);
-    // In the order of time, the oldest first.
+    // Reinserted at the end: `evictOld` expects the oldest first.
     this.recent.delete(record.id);
     this.recent.set(record.id, {record, atMs: nowMs});
     this.evictOld(nowMs);
@@ -33,20 +39,20 @@
     }
   }
 
-  /** Records that the leader was not told yet. */
+  /** Returns and clears the records that were not sent to the leader yet. */
   takeUnsent(): readonly TargetRecord[] {
     const records = [...this.unsent.values()];
     this.unsent = new Map();
     return records;
   }
 
-  /** Takes back what the leader may not have received. */
+  /** Queues records that the leader may not have received, unless outdated. */
   requeue(records: readonly TargetRecord[]): void {
     for (const record of records)
       if (!this.unsent.has(record.id)) this.unsent.set(record.id, record);
   }
 
-  /** Tells a new leader what was heard here lately; other nodes tell the rest. */
+  /** Queues recent records for a new leader; other nodes send theirs. */
   requeueRecent(nowMs: number): void {
     for (const [id, {record, atMs}] of this.recent) {
       const resendForMs =
--- a/src/cluster/heldSite.ts
+++ b/src/cluster/heldSite.ts
@@ -1,4 +1,4 @@
-/** The document that a node serves by; its version never goes back. */
+/** The active site document of a node; its version never decreases. */
 
 import {NO_SITE_VERSION} from '../control/state/siteState';
 import type {Logger} from '../core/logger';
@@ -6,7 +6,7 @@
 import type {DecodedSite} from '../site/site';
 import {SiteIndex} from '../site/siteIndex';
 
-/** Holds the newest document that could be read. */
+/** Holds the newest document that could be decoded. */
 export class ActiveSite {
   private current: SiteIndex | undefined;
   private packedText = '';
@@ -16,12 +16,12 @@
     private readonly logger: Logger
   ) {}
 
-  /** Text of the document as it travels between nodes; empty before the first. */
+  /** The document as sent between nodes; empty before the first. */
   get packed(): string {
     return this.packedText;
   }
 
-  /** Takes over a newer document; returns the one that is held then. */
+  /** Activates a newer document; returns the one that is active then. */
   update(version: number, packed: string | undefined): SiteIndex | undefined {
     const heldVersion = this.current?.site.version ?? NO_SITE_VERSION;
     if (packed === undefined || version <= heldVersion) return this.current;
@@ -33,7 +33,10 @@
     }
     this.packedText = packed;
     this.current = new SiteIndex(decoded.site);
-    this.logger.info({event: 'site.applied', version}, 'site applied');
+    this.logger.info(
+      {event: 'site.applied', version},
+      `site version ${version} applied`
+    );
     return this.current;
   }
 }
--- a/src/cluster/leaderDuties.ts
+++ b/src/cluster/leaderDuties.ts
@@ -1,6 +1,6 @@
 /**
- * What a node answers as the leader: reports of all nodes, proposals, and reads
- * that a quorum proves. A node that does not lead names the one that does.
+ * Handles what only the leader can: reports of all nodes, proposals, and reads
+ * that a quorum confirms. A node that does not lead replies with the leader.
  */
 
 import type {Logger} from '../core/logger';
@@ -10,13 +10,13 @@
 import type {OperatorCommand, SyncParams, SyncReply} from './messages';
 import type {NodeDirectory} from './nodeDirectory';
 
-/** What the duties rest on. */
+/** Dependencies of the leader service. */
 export interface LeaderServiceParts {
   replica(): LogReplica | undefined;
   readonly directory: NodeDirectory;
   readonly coordinator: Coordinator;
   site(): Site | undefined;
-  /** The leader as far as this node knows it. */
+  /** The leader that this node knows, if any. */
   leader(): string | undefined;
   readonly logger: Logger;
 }
@@ -26,7 +26,7 @@
   readonly leader?: string;
 }
 
-/** Calls that only the leader can carry out. */
+/** Calls that need the leader. */
 export class LeaderService {
   private coordinatorTerm = -1;
   private caughtUpTerm = -1;
@@ -37,7 +37,7 @@
     return this.parts.replica()?.current?.log.status().term ?? 0;
   }
 
-  /** Whether this node leads and knows all that was agreed before. */
+  /** Whether this node leads and has applied all earlier commits. */
   get isCaughtUp(): boolean {
     const leads = this.parts.replica()?.leads === true;
     return leads && this.caughtUpTerm === this.term;
@@ -46,17 +46,20 @@
   /** Resolves once the command is durable on a quorum. */
   async propose(command: OperatorCommand): Promise<void> {
     const {log, state} = this.open();
-    // What is overtaken already changes nothing: the log is spared a copy, but
-    // the answer still needs a proof that the newer version is agreed.
+    // A superseded document changes nothing, so the log is spared a copy. The
+    // reply still needs a quorum to confirm that the newer version is committed.
     const isSuperseded =
       command.kind === 'site' && command.version <= state.site.version;
     if (isSuperseded) await log.readBarrier();
     else await log.propose(command);
     const {kind} = command;
-    this.parts.logger.info({event: 'change.agreed', kind}, 'change agreed');
+    this.parts.logger.info(
+      {event: 'change.agreed', kind},
+      `change of kind ${kind} is committed`
+    );
   }
 
-  /** Proposes for another node. */
+  /** Handles a proposal of another node. */
   async handleProposal(
     command: OperatorCommand
   ): Promise<NotLeader | {kind: 'committed'}> {
@@ -65,7 +68,7 @@
     return {kind: 'committed'};
   }
 
-  /** The newest document, proven by a quorum. */
+  /** The newest site document, confirmed by a quorum. */
   async readSite(heldVersion: number) {
     const {log, state} = this.open();
     await log.readBarrier();
@@ -74,12 +77,12 @@
     return {kind: 'site' as const, version, packed: held ? undefined : packed};
   }
 
-  /** Reads for another node. */
+  /** Handles a read of another node. */
   async handleReadSite(heldVersion: number) {
     return this.leads ? this.readSite(heldVersion) : this.notLeader();
   }
 
-  /** Answers a report, this node's own included. */
+  /** Handles a report of any node, including this one. */
   async sync(params: SyncParams): Promise<SyncReply> {
     const {directory, coordinator, site} = this.parts;
     directory.markSeen([params.from]);
@@ -91,7 +94,7 @@
       coordinator.reset();
     }
     if (this.caughtUpTerm !== term) {
-      // What earlier leaders agreed may not be applied here yet.
+      // Commits of earlier leaders may not be applied here yet.
       await opened.log.readBarrier();
       this.caughtUpTerm = term;
     }
--- a/src/cluster/leaderLink.ts
+++ b/src/cluster/leaderLink.ts
@@ -1,29 +1,29 @@
-/** Calls to whoever leads, which is found by asking the nodes that are known. */
+/** Calls to the leader, which is found by trying the known nodes. */
 
 import type * as z from 'zod';
 import type {Logger} from '../core/logger';
 import type {NodeDirectory} from './nodeDirectory';
 import type {RpcClient} from './rpcClient';
 
-/** What every answer of a node that does not lead looks like. */
+/** Reply of a node that does not lead, with the leader if it knows one. */
 interface NotLeader {
   readonly kind: 'notLeader';
   readonly leader?: string;
 }
 
-/** Nodes asked for one call before it fails: a leader that moved is found. */
+/** Nodes tried per call, enough to find a leader that has changed. */
 const MAX_ATTEMPTS = 5;
 
-/** One call and how its answer reads. */
+/** One call and the schema of its reply. */
 export interface LeaderCall<T> {
   readonly method: string;
   readonly params: unknown;
   readonly reply: z.ZodType<T | NotLeader>;
-  /** For one node asked. */
+  /** Timeout for each node that is tried. */
   readonly timeoutMs: number;
 }
 
-/** Finds the leader and remembers it. */
+/** Finds the leader and caches its address. */
 export class LeaderClient {
   private cachedLeader: string | undefined;
   private nextIndex = 0;
@@ -32,21 +32,21 @@
     private readonly rpc: RpcClient,
     private readonly directory: NodeDirectory,
     private readonly logger: Logger,
-    /** Leader by this node's own log, if it takes part in it. */
+    /** Leader by this node's own log; undefined without one. */
     private readonly leaderFromLog: () => string | undefined
   ) {}
 
-  /** The leader as far as known. */
+  /** The leader, if known. */
   get leader(): string | undefined {
     return this.leaderFromLog() ?? this.cachedLeader;
   }
 
-  /** Asks one node after the other; rejects when none leads. */
+  /** Tries one node after the other; rejects when no leader replied. */
   async call<T extends {readonly kind: string}>(
     call: LeaderCall<T>
   ): Promise<Exclude<T, NotLeader>> {
     let hint = this.leader;
-    let failure: unknown = new Error('no other node is known');
+    let failure: unknown = new Error('no other node is known that may lead');
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const ip = hint ?? this.nextNode();
       if (ip === undefined || ip === this.directory.self.ip) break;
@@ -59,7 +59,7 @@
           return reply as Exclude<T, NotLeader>;
         }
         const {leader} = reply as NotLeader;
-        failure = new Error(`${ip} does not lead`);
+        failure = new Error(`node ${ip} does not lead`);
         hint = leader === ip ? undefined : leader;
       } catch (err) {
         failure = err;
@@ -72,7 +72,7 @@
 
   private cacheLeader(ip: string): void {
     if (this.cachedLeader !== ip)
-      this.logger.info({event: 'leader.found', ip}, 'leader found');
+      this.logger.info({event: 'leader.found', ip}, `found leader ${ip}`);
     this.cachedLeader = ip;
   }
 
@@ -80,12 +80,12 @@
     const err = String(failure);
     this.logger.warn(
       {event: 'leader.lost', ip: this.cachedLeader, err},
-      'leader lost'
+      `lost leader ${this.cachedLeader}`
     );
     this.cachedLeader = undefined;
   }
 
-  /** Each in turn, so that one that hangs is not asked over and over. */
+  /** Rotates through all nodes, so that one that hangs is not tried each time. */
   private nextNode(): string | undefined {
     const addresses = this.directory.probeAddresses();
     if (addresses.length === 0) return undefined;
--- a/src/cluster/leaderProgress.ts
+++ b/src/cluster/leaderProgress.ts
@@ -1,11 +1,11 @@
-/** How much of the leader's view a node has; an answer holds only what is newer. */
+/** How much of the leader's view a node has; replies hold only what is newer. */
 
 import type {SyncParams, SyncState} from './messages';
 
-/** The list of nodes comes this often, also when it has not changed. */
+/** Interval at which the list of nodes is requested although it is unchanged. */
 const NODES_REFRESH_MS = 5_000;
 
-/** Position in the view of the present leader. */
+/** Position in the view of the current leader, as of the last reply. */
 export class SyncCursor {
   private term = -1;
   private index = -1;
@@ -13,7 +13,7 @@
   private nodesRevision: number | undefined;
   private nodesReceivedAtMs = -Infinity;
 
-  /** What a report says of it. */
+  /** The position as fields of a report. */
   reportParams(
     nowMs: number
   ): Pick<SyncParams, 'tableTerm' | 'tableRevision' | 'nodesRevision'> {
@@ -21,17 +21,18 @@
     return {
       tableTerm: this.term,
       tableRevision: this.tableRevision,
-      // Nodes that are not named for long are forgotten.
+      // The whole list is requested in time: nodes that are not named for long
+      // are dropped from the directory.
       nodesRevision: isFresh ? this.nodesRevision : undefined,
     };
   }
 
-  /** Whether an answer is of an older leader or an older position of the log. */
+  /** Whether a reply is from an earlier leader or log position. */
   isStale({term, index}: SyncState): boolean {
     return term < this.term || index < this.index;
   }
 
-  /** Takes an answer in; returns whether its leader is a new one. */
+  /** Advances to the position of a reply; returns whether its leader is new. */
   advance(reply: SyncState, nowMs: number): boolean {
     const isNewLeader = reply.term > this.term;
     this.term = reply.term;
--- a/src/cluster/limitLog.ts
+++ b/src/cluster/limitLog.ts
@@ -1,4 +1,4 @@
-/** Logs the limits of services, which are renewed all the time, as they change. */
+/** Logs changes of concurrency limits, which are recomputed all the time. */
 
 import type {Logger} from '../core/logger';
 import {rounded} from '../core/rounded';
@@ -7,7 +7,7 @@
 import {inFlightOf} from './nodeReports';
 import type {ServiceConcurrency} from './serviceGroups';
 
-/** Change of the concurrency of a service that is logged, in parts of it. */
+/** Relative change of a service's concurrency above which it is logged. */
 const MIN_LOGGED_CHANGE_RATIO = 0.1;
 
 interface LoggedLimit {
@@ -15,7 +15,7 @@
   readonly reasons: string;
 }
 
-/** Limits by service, as they were logged last. */
+/** Compares the limits of each service with those logged last. */
 export class LimitChangeLogger {
   private readonly logged = new Map<string, LoggedLimit>();
 
@@ -47,7 +47,7 @@
           ...outlook,
         })),
       },
-      'places of a service changed'
+      `concurrency limits of service ${service} changed`
     );
   }
 }
--- a/src/cluster/messages.ts
+++ b/src/cluster/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes; validated once where they come in. */
+/** Messages between nodes, validated once on receipt. */
 
 import * as z from 'zod';
 import type {TargetRecord} from '../site/announcement';
@@ -20,22 +20,22 @@
   ip: TEXT,
   /** Whether it has a disk, and so takes part in the log. */
   hasDisk: z.boolean(),
-  /** Absent when it is not known, as of a node of an older version. */
+  /** Absent when not known, for example from a node of an older version. */
   availabilityZone: TEXT.optional(),
 });
 /** A node as others know it. */
 export type NodeInfo = z.infer<typeof NODE_INFO>;
 
-/** Says who asks; the answer tells who is known. */
+/** Introduces the sender; the reply lists the nodes that the receiver knows. */
 export const HELLO_PARAMS = z.object({from: NODE_INFO});
 
-/** Answer to a hello. */
+/** Reply to a hello. */
 export const HELLO_REPLY = z.object({
   self: NODE_INFO,
   nodes: z.array(NODE_INFO),
   leader: TEXT.optional(),
 });
-/** Answer to a hello. */
+/** Reply to a hello. */
 export type HelloReply = z.infer<typeof HELLO_REPLY>;
 
 const GROUP_MEMBERSHIP = z.object({
@@ -46,7 +46,7 @@
   open: z.boolean(),
 });
 
-/** A target as nodes tell each other. */
+/** A target record as exchanged between nodes. */
 export const TARGET_RECORD: z.ZodType<TargetRecord> = z.object({
   id: TEXT,
   bornMs: z.number(),
@@ -60,20 +60,20 @@
   group: GROUP_MEMBERSHIP.optional(),
 });
 
-/** What one node sees of one service. */
+/** Load of one service at one node. */
 export const SERVICE_LOAD = z.object({
   service: TEXT,
   /** Requests at targets now. */
   inFlight: COUNT,
   waiting: COUNT,
-  /** Requests taken from callers since the last report. */
+  /** Requests received from callers since the last report. */
   arrivals: COUNT,
-  /** Requests at each target now, by its id. */
+  /** Requests at each target now, by target id. */
   byTarget: z.record(TEXT, COUNT),
-  /** Length of a pass by group, milliseconds; only where streams run. */
+  /** Pass duration by group, milliseconds; only for groups with streams. */
   pacesMs: z.record(TEXT, COUNT),
 });
-/** What one node sees of one service. */
+/** Load of one service at one node. */
 export type ServiceLoad = z.infer<typeof SERVICE_LOAD>;
 
 /** A node's regular report to the leader. */
@@ -82,49 +82,52 @@
   /** Changes with each start of the node. */
   bootId: TEXT,
   siteVersion: z.number(),
-  /** Revision of the target table that the node has of this leader. */
+  /** Revision of the leader's target table that the node has. */
   tableRevision: z.number(),
-  /** Term whose table that is. */
+  /** Term of the leader whose table that is. */
   tableTerm: z.number(),
-  /** Revision of the list of nodes that it has of this leader. */
+  /** Revision of the leader's list of nodes that the node has. */
   nodesRevision: z.number().optional(),
-  /** Records that the node heard of itself, or all it has when the term is new. */
+  /**
+   * Records from announcements to the node since its last report; all recent
+   * ones after a change of the leader.
+   */
   records: z.array(TARGET_RECORD),
   loads: z.array(SERVICE_LOAD),
 });
 /** A node's regular report to the leader. */
 export type SyncParams = z.infer<typeof SYNC_PARAMS>;
 
-/** What one node may use of one service. */
+/** What the leader grants one node of one service. */
 export const SERVICE_GRANT = z.object({
   service: TEXT,
-  /** Requests that the node may have at targets at once. */
+  /** Requests that the node may run at targets at once. */
   concurrency: COUNT,
-  /** Places of the service that no node wants now. */
+  /** Concurrency of the service beyond the demand of all nodes. */
   free: COUNT,
-  /** What bounds the group that is bound most, for logs. */
+  /** Reason for the limit of the most limited group, for logs. */
   boundBy: TEXT.optional(),
-  /** Requests that it may have at each target, by its id; absent: as before. */
+  /** Requests allowed at each target, by target id; unchanged when absent. */
   permits: z.record(TEXT, COUNT).optional(),
-  /** Skew of the ranks' load right after recent shifts, by group. */
+  /** Load skew of the ranks right after recent demand shifts, by group. */
   shiftSkews: z.record(TEXT, COUNT),
 });
-/** What one node may use of one service. */
+/** What the leader grants one node of one service. */
 export type ServiceGrant = z.infer<typeof SERVICE_GRANT>;
 
-/** The leader's answer to a report. */
+/** The leader's reply to a report. */
 export const SYNC_REPLY = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('notLeader'), leader: TEXT.optional()}),
   z.object({
     kind: z.literal('state'),
     term: z.number(),
-    /** Index of the log that the replicated parts show. */
+    /** Commit index that the replicated fields reflect. */
     index: z.number(),
-    /** Empty while the node has this revision of the list. */
+    /** Empty when the node has this revision of the list. */
     nodes: z.array(NODE_INFO),
     nodesRevision: z.number().optional(),
     siteVersion: z.number(),
-    /** Only when the node has an older one. */
+    /** Only when the node has an older version. */
     packedSite: TEXT.optional(),
     zonesOut: z.array(TEXT),
     tableRevision: z.number(),
@@ -134,12 +137,12 @@
     activeNodes: z.number(),
   }),
 ]);
-/** The leader's answer to a report. */
+/** The leader's reply to a report. */
 export type SyncReply = z.infer<typeof SYNC_REPLY>;
-/** The leader's view. */
+/** The reply of a node that leads, with its view. */
 export type SyncState = Extract<SyncReply, {kind: 'state'}>;
 
-/** A change for the log, as operators order it. */
+/** A change that an operator submits to the log. */
 export const PROPOSE_PARAMS = z.object({
   command: z.discriminatedUnion('kind', [
     z.object({kind: z.literal('site'), version: z.number(), packed: TEXT}),
@@ -150,25 +153,25 @@
     }),
   ]),
 });
-/** A change for the log, as operators order it. */
+/** A change that an operator submits to the log. */
 export type OperatorCommand = z.infer<typeof PROPOSE_PARAMS>['command'];
 
-/** Answer to a proposal. */
+/** Reply to a proposal. */
 export const PROPOSE_REPLY = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('notLeader'), leader: TEXT.optional()}),
   z.object({kind: z.literal('committed')}),
 ]);
 
-/** Asks for the newest document, proven by a quorum. */
+/** Requests the newest site document, confirmed by a quorum. */
 export const READ_SITE_PARAMS = z.object({heldVersion: z.number()});
 
-/** The newest document. */
+/** Reply with the newest site document. */
 export const READ_SITE_REPLY = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('notLeader'), leader: TEXT.optional()}),
   z.object({
     kind: z.literal('site'),
     version: z.number(),
-    /** Absent when the asker holds this version. */
+    /** Absent when the requester has this version. */
     packed: TEXT.optional(),
   }),
 ]);
--- a/src/cluster/nodeDirectory.ts
+++ b/src/cluster/nodeDirectory.ts
@@ -1,12 +1,12 @@
 /**
- * The nodes that are known, found through seeds and through each other. No one
- * tells a node how many there are; machines come and go at new addresses.
+ * The known nodes, discovered through seeds and through each other. Their number
+ * is not configured, and machines come and go at new addresses.
  */
 
 import type {LogPeer, LogPeers} from '../control/log/logOptions';
 import type {NodeInfo} from './messages';
 
-/** A node that was not heard of for so long is forgotten; seeds never are. */
+/** A node that was not seen for this long is dropped; seeds never are. */
 const EXPIRE_AFTER_MS = 20_000;
 
 interface KnownNode {
@@ -22,23 +22,23 @@
 
   constructor(
     readonly self: NodeInfo,
-    /** Addresses to ask first; may change with the settings. */
+    /** Addresses for the first contact; may change with the settings. */
     private seeds: readonly string[],
     private readonly connect: (ip: string) => LogPeer,
     private readonly nowMs: () => number
   ) {}
 
-  /** Takes over seeds of changed settings. */
+  /** Replaces the seeds after a change of settings. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** The seeds in force, this node included if it is one. */
+  /** The current seeds, this node included if it is one. */
   seedAddresses(): readonly string[] {
     return this.seeds;
   }
 
-  /** Notes nodes that were heard of just now. */
+  /** Records that these nodes were seen just now. */
   markSeen(infos: readonly NodeInfo[]): void {
     for (const info of infos) {
       if (info.ip === this.self.ip) continue;
@@ -47,24 +47,27 @@
     }
   }
 
-  /** Counts up with each node that is found or forgotten. */
+  /** Increases with each node that is added or dropped. */
   get revision(): number {
     this.evictExpired();
     return this.lastRevision;
   }
 
-  /** Notes nodes that another one named; it may have heard of them long ago. */
+  /**
+   * Adds nodes that another node named. It may have seen them long ago, so the
+   * timestamps of known nodes stay.
+   */
   addUnknown(infos: readonly NodeInfo[]): void {
     this.markSeen(infos.filter(({ip}) => !this.nodes.has(ip)));
   }
 
-  /** All nodes known, this one included. */
+  /** All known nodes, this one included. */
   all(): readonly NodeInfo[] {
     this.evictExpired();
     return [this.self, ...[...this.nodes.values()].map(({info}) => info)];
   }
 
-  /** Addresses to ask when the leader is not known, this one excluded. */
+  /** Addresses of other nodes to try when the leader is not known. */
   probeAddresses(): readonly string[] {
     const known = this.all().map(({ip}) => ip);
     const ips = new Set([...this.seeds, ...known]);
@@ -79,7 +82,7 @@
       .map(({ip}) => ip);
   }
 
-  /** Any address can be asked: a voter may be known from the log alone. */
+  /** Accepts any address: a voter may be known from the log alone. */
   find(ip: string): LogPeer | undefined {
     if (ip === this.self.ip) return undefined;
     const known = this.peers.get(ip);
--- a/src/cluster/nodeReports.ts
+++ b/src/cluster/nodeReports.ts
@@ -1,15 +1,15 @@
-/** What nodes reported last to the leader; soft state of one term. */
+/** The last report of each node to the leader; soft state of one term. */
 
 import {sum} from '../core/sum';
 import {reportPeriodMs} from '../policy/reportPeriod';
 import type {ShareDemand} from '../policy/shareAllocation';
 import type {NodeInfo, ServiceLoad, SyncParams} from './messages';
 
-/** A node that did not report for so long gets no share. */
+/** A node whose last report is older gets no share. */
 const ACTIVE_WITHIN_MS = 2_000;
-/** A node that missed so many reports may be lost. */
+/** A node without a report for this many periods may be lost. */
 const RECENT_REPORT_PERIODS = 4;
-/** Part of an older count of arrivals that stays with each report. */
+/** Factor by which each report scales the earlier arrivals down. */
 const ARRIVALS_DECAY = 0.7;
 
 /** The last report of one node. */
@@ -22,7 +22,7 @@
   readonly arrivals: ReadonlyMap<string, number>;
 }
 
-/** The last reports by the address of the node. */
+/** The last reports by node address. */
 export class NodeReports {
   private readonly reports = new Map<string, NodeReport>();
 
@@ -51,12 +51,12 @@
     this.reports.set(ip, {info: from, bootId, atMs: nowMs, loads, arrivals});
   }
 
-  /** Those of nodes that serve callers now. */
+  /** Reports of the nodes that serve callers now. */
   active(nowMs: number): readonly NodeReport[] {
     return this.reportedSince(nowMs - ACTIVE_WITHIN_MS);
   }
 
-  /** Nodes whose reports are fresh. */
+  /** Nodes with a recent report. */
   recentNodes(nowMs: number): readonly NodeInfo[] {
     const oldestMs = nowMs - RECENT_REPORT_PERIODS * this.periodMs;
     return this.reportedSince(oldestMs).map(({info}) => info);
@@ -67,7 +67,7 @@
   }
 }
 
-/** Loads of one service at these nodes. */
+/** Loads of one service in these reports. */
 export function loadsOf(
   service: string,
   reports: readonly NodeReport[]
--- a/src/cluster/peerDiscovery.ts
+++ b/src/cluster/peerDiscovery.ts
@@ -1,6 +1,7 @@
 /**
- * Peer discovery through seeds. The leader announces itself to the seeds, since
- * they may be nodes without a disk, through which others could not find it.
+ * Peer discovery through seeds. The leader announces itself to the seeds: a seed
+ * without a disk has no log that names the leader, and other nodes could not
+ * find the leader through it.
  */
 
 import type {Logger} from '../core/logger';
@@ -8,14 +9,14 @@
 import type {NodeDirectory} from './nodeDirectory';
 import type {RpcClient} from './rpcClient';
 
-/** An answer takes a few milliseconds; a frozen node's never comes. */
+/** A reply takes a few milliseconds; a frozen node never replies. */
 const HELLO_TIMEOUT_MS = 500;
 /** Peers probed at once while no leader is known. */
 const CONCURRENT_PROBES = 3;
-/** Between two announcements of the leader to the seeds. */
+/** Interval between two announcements of the leader to the seeds. */
 const SEED_ANNOUNCE_INTERVAL_MS = 500;
 
-/** Probes peers; answers go into the directory. */
+/** Probes peers and adds the nodes that they name to the directory. */
 export class PeerDiscovery {
   private nextIndex = 0;
   private announcedAtMs = -Infinity;
@@ -26,7 +27,7 @@
     private readonly logger: Logger
   ) {}
 
-  /** Asks some peers for the nodes that they know, in rotation. */
+  /** Queries some peers, in rotation, for the nodes that they know. */
   probePeers(): void {
     const addresses = this.directory.probeAddresses();
     const count = Math.min(CONCURRENT_PROBES, addresses.length);
--- a/src/cluster/rpcClient.ts
+++ b/src/cluster/rpcClient.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC to other nodes over kept HTTP connections. */
+/** JSON-RPC calls to other nodes over persistent HTTP connections. */
 
 import http from 'node:http';
 import {JSONRPCClient} from 'json-rpc-2.0';
@@ -6,11 +6,11 @@
 import {PeerError} from '../core/errors';
 
 /**
- * Idle connections end after this. Longer than the pause between two syncs, so
- * that those share one connection.
+ * Idle connections close after this. Longer than the interval between two
+ * reports, so that they share one connection.
  */
 const IDLE_TIMEOUT_MS = 5_000;
-/** Calls to one node at a time; the log alone may have a few on their way. */
+/** Concurrent calls to one node; the log alone may have a few in flight. */
 const MAX_SOCKETS_PER_NODE = 8;
 const HTTP_OK = 200;
 
@@ -25,7 +25,7 @@
   /** All nodes of a deployment listen on the same port. */
   constructor(private readonly port: number) {}
 
-  /** Rejects with PeerError. The answer is the caller's to validate. */
+  /** Rejects with PeerError. The caller validates the result. */
   async call(
     ip: string,
     method: string,
@@ -50,8 +50,8 @@
   }
 
   /**
-   * One deadline covers the whole call. A connection may fall silent without
-   * a reset; it is given up with the call, so that the next one gets another.
+   * One timeout covers the whole call. A connection may hang without a reset, so
+   * a timeout also closes it, and the next call gets another.
    */
   private post(ip: string, body: string, timeoutMs: number): Promise<string> {
     return new Promise((resolve, reject) => {
@@ -69,11 +69,14 @@
           clearTimeout(timer);
           if (res.statusCode === HTTP_OK && res.complete)
             resolve(Buffer.concat(chunks).toString('utf8'));
-          else fail(new Error(`status ${res.statusCode}`));
+          else
+            fail(
+              new Error(`status ${res.statusCode}, complete: ${res.complete}`)
+            );
         });
       });
       const timer = setTimeout(() => {
-        fail(new Error(`no answer within ${timeoutMs} ms`), true);
+        fail(new Error(`no response within ${timeoutMs} ms`), true);
         req.destroy();
       }, timeoutMs);
       function fail(err: Error, isTimeout = false): void {
--- a/src/cluster/rpcServer.ts
+++ b/src/cluster/rpcServer.ts
@@ -1,4 +1,4 @@
-/** Takes JSON-RPC calls of other nodes over HTTP. */
+/** Serves JSON-RPC calls of other nodes over HTTP. */
 
 import http from 'node:http';
 import {JSONRPCServer} from 'json-rpc-2.0';
@@ -7,9 +7,9 @@
 import type {Logger} from '../core/logger';
 import {readText} from '../core/readText';
 
-/** A snapshot of the log comes in chunks of 1 MiB characters. */
+/** The largest bodies are log snapshots, in chunks of 1 MiB characters. */
 const MAX_BODY_BYTES = 8 << 20;
-/** Longer than the caller keeps an idle connection, which therefore closes first. */
+/** Longer than `RpcClient` keeps idle connections, so that it closes them first. */
 const IDLE_TIMEOUT_MS = 15_000;
 
 /** The internal port of a node. */
@@ -26,7 +26,7 @@
     this.server.keepAliveTimeout = IDLE_TIMEOUT_MS;
   }
 
-  /** Parameters are validated here, once. */
+  /** Registers a method; its parameters are validated by the schema. */
   addMethod<T>(
     name: string,
     schema: z.ZodType<T>,
@@ -61,7 +61,7 @@
       res.setHeader('content-type', 'application/json');
       res.end(JSON.stringify(response));
     } catch (err) {
-      this.logger.warn({step: 'rpc', err: String(err)}, 'bad call');
+      this.logger.warn({step: 'rpc', err: String(err)}, 'RPC request failed');
       res.destroy();
     }
   }
--- a/src/cluster/serviceGroups.ts
+++ b/src/cluster/serviceGroups.ts
@@ -1,4 +1,4 @@
-/** Targets and loads of a service, by the groups that its ranks form. */
+/** Concurrency of a service, from the targets and loads of its groups of ranks. */
 
 import {sum} from '../core/sum';
 import type {MapOutlook} from '../policy/mapOutlook';
@@ -17,19 +17,22 @@
 import type {ServiceLoad} from './messages';
 import {inFlightOf} from './nodeReports';
 
-/** Requests at a plain target beside those in work: its next ones are there. */
+/**
+ * Requests that wait at a plain target for each slot, so that the next one is
+ * there when a slot becomes free.
+ */
 const QUEUED_PER_PLAIN_SLOT = 1;
 
-/** What the concurrency of a service rests on. */
+/** What the concurrency of a service is computed from. */
 export interface ConcurrencyInput {
   readonly service: SiteService;
   readonly records: readonly TargetRecord[];
-  /** Of all nodes. */
+  /** Loads of the service at all nodes. */
   readonly loads: readonly ServiceLoad[];
   readonly goals: StreamGoals;
   /** Whether all nodes have reported their loads. */
   readonly allNodesReported: boolean;
-  /** Undefined where nobody orders the maps of the group. */
+  /** Undefined while nothing controls the maps of the group. */
   outlookOf(group: string): MapOutlook | undefined;
   readonly nowMs: number;
 }
@@ -38,11 +41,14 @@
 export interface ServiceConcurrency {
   readonly total: number;
   readonly targets: readonly PermitTarget[];
-  /** Empty where groups do not bound the requests of a service. */
+  /** Empty for services whose groups have no limits. */
   readonly groups: readonly (GroupLoad & GroupLimit)[];
 }
 
-/** Concurrency of a service now; to be asked once each period of reports. */
+/**
+ * Computes the current concurrency of a service. To be called once per report
+ * period, since each call updates the pass costs that `limits` has observed.
+ */
 export function computeConcurrency(
   limits: GroupLimits,
   input: ConcurrencyInput
@@ -65,7 +71,7 @@
     const limit = limitsByGroup.get(load.name);
     return limit === undefined ? [] : [{...load, ...limit}];
   });
-  // What runs in a group beyond its limit takes nothing from the other groups.
+  // Requests beyond the limit of a group must not reduce that of other groups.
   const hasSeveralGroups = groups.length > 1;
   const total = sum(
     groups.map(({concurrency, running}) =>
@@ -75,7 +81,7 @@
   return {total, targets, groups};
 }
 
-/** What bounds the group that is bound most; undefined where none is known. */
+/** Reason for the limit of the most limited group; undefined without groups. */
 export function tightestLimitReason({
   groups,
 }: ServiceConcurrency): LimitReason | undefined {
@@ -111,7 +117,8 @@
     byGroup.set(target.group, members);
     members.push(target);
   }
-  // Requests at targets that fell out count with what works: they come back.
+  // With one group, requests at targets that dropped out count too: they are
+  // retried in the same group.
   const isOnlyGroup = byGroup.size === 1;
   const running = runningByGroup(targets, loads);
   return [...byGroup].map(([name, members]) => ({
@@ -140,7 +147,10 @@
   return running;
 }
 
-/** One node that reads slowly must not stand for the group; 0 when none runs. */
+/**
+ * Pass duration of a group: the median over nodes, so that one that reads slowly
+ * does not distort it; 0 when no stream runs.
+ */
 export function medianPassMs(
   loads: readonly ServiceLoad[],
   group: string
@@ -156,7 +166,7 @@
   return sum(targets.map(({capacity}) => capacity));
 }
 
-/** After an outage a group forms anew before anybody orders its maps. */
+/** For a group whose maps nothing controls yet, as when it has just re-formed. */
 function defaultOutlook({expertSets}: EngineProfile): MapOutlook {
   return expertSets > 0 ? FIRST_MAP_OUTLOOK : EVEN_OUTLOOK;
 }
--- a/src/cluster/targetTable.ts
+++ b/src/cluster/targetTable.ts
@@ -1,30 +1,32 @@
 /**
- * What is known of the targets that announce themselves, merged from the
- * announcements that reached any node. The leader keeps the shared table and
- * numbers its changes; each node keeps a copy.
+ * The known targets, merged from the announcements that any node received. The
+ * leader keeps the shared table and numbers its changes; each node keeps a copy.
  */
 
 import type {TargetRecord} from '../site/announcement';
 
-/** Records of targets that left stay, so that late announcements are known as such. */
+/**
+ * Records of gone and silent targets are kept this long, so that late
+ * announcements are recognized as outdated.
+ */
 const KEEP_ABSENT_MS = 60_000;
 
 interface Entry {
   readonly record: TargetRecord;
-  /** Number of the change that brought the record into its present form. */
+  /** Table revision of the last change of the record. */
   readonly revision: number;
-  /** Local clock when it last told of itself. */
+  /** Local time of its last announcement. */
   readonly seenAtMs: number;
 }
 
-/** Records by id, with the newest life at each address. */
+/** Records by id. An address belongs to the latest boot known there. */
 export class TargetTable {
   private readonly entries = new Map<string, Entry>();
-  /** Ids of all lives known at an address. */
+  /** Ids of all boots known at an address. */
   private readonly idsByAddress = new Map<string, Set<string>>();
   private lastRevision = 0;
 
-  /** Number of the latest change. */
+  /** Revision of the latest change. */
   get revision(): number {
     return this.lastRevision;
   }
@@ -46,7 +48,7 @@
       .map(({record}) => record);
   }
 
-  /** Takes in one record; false when something newer is known. */
+  /** Merges one record; false when a newer one is known. */
   merge(record: TargetRecord, nowMs: number): boolean {
     const known = this.entries.get(record.id);
     if (known !== undefined && !isNewer(record, known.record)) return false;
@@ -58,8 +60,8 @@
     return true;
   }
 
-  /** Takes over the leader's view, unless more is known here already. */
-  mergeFromLeader(record: TargetRecord, nowMs: number): void {
+  /** Merges a record of the leader's table, unless a newer one is known. */
+  mergeShared(record: TargetRecord, nowMs: number): void {
     const known = this.entries.get(record.id)?.record;
     if (known !== undefined) {
       if (record.bornMs < known.bornMs) return;
@@ -71,7 +73,7 @@
     this.putChange(record, nowMs);
   }
 
-  /** Notes that a target said goodbye; ignored when the id is not known. */
+  /** Marks a target that leaves as gone; ignored when the id is not known. */
   leave(id: string, nowMs: number): TargetRecord | undefined {
     const known = this.entries.get(id)?.record;
     if (known === undefined) return undefined;
@@ -80,13 +82,13 @@
     return record;
   }
 
-  /** Counts all targets as heard of now; what left or fell silent stays so. */
+  /** Restarts all silence timers; gone and silent targets keep their state. */
   markAllSeen(nowMs: number): void {
     for (const [id, entry] of this.entries)
       this.entries.set(id, {...entry, seenAtMs: nowMs});
   }
 
-  /** Marks those silent that told nothing for a while. */
+  /** Marks targets without announcements silent, and drops old records. */
   expire(nowMs: number, silentAfterMs: number): void {
     for (const [id, {record, seenAtMs}] of this.entries) {
       const age = nowMs - seenAtMs;
@@ -119,7 +121,7 @@
     if (ids?.size === 0) this.idsByAddress.delete(address);
   }
 
-  /** Records of other lives at the address of a record. */
+  /** Records of other boots at the address of a record. */
   private othersAt({id, address}: TargetRecord): readonly TargetRecord[] {
     const ids = [...(this.idsByAddress.get(address) ?? [])];
     return ids
@@ -127,12 +129,12 @@
       .flatMap(other => this.entries.get(other)?.record ?? []);
   }
 
-  /** Whether a later life is known at the same address. */
+  /** Whether a later boot is known at the same address. */
   private isSuperseded(record: TargetRecord): boolean {
     return this.othersAt(record).some(({bornMs}) => bornMs > record.bornMs);
   }
 
-  /** An address belongs to the life that began last. */
+  /** Marks earlier boots at the address gone: it belongs to the latest one. */
   private retireEarlierBoots(record: TargetRecord, nowMs: number): void {
     for (const other of this.othersAt(record))
       if (other.bornMs < record.bornMs && other.state !== 'gone')
@@ -141,8 +143,8 @@
 }
 
 /**
- * A life that said goodbye, or drains, never becomes ready again: a late
- * announcement of it must not bring it back.
+ * A boot that has left, or drains, never becomes ready again: a late
+ * announcement must not bring it back.
  */
 function isNewer(record: TargetRecord, known: TargetRecord): boolean {
   if (record.bornMs !== known.bornMs) return record.bornMs > known.bornMs;
@@ -151,7 +153,7 @@
   return record.sequence > known.sequence;
 }
 
-/** Whether nobody would act otherwise on the one than on the other. */
+/** Whether both records have the same effect on every reader. */
 function isEquivalent(a: TargetRecord, b: TargetRecord): boolean {
   return (
     a.bornMs === b.bornMs &&
