--- a/src/cluster/serviceGroups.ts
+++ b/src/cluster/serviceGroups.ts
@@ -175,11 +175,11 @@
   service: string,
   records: readonly TargetRecord[]
 ): readonly TargetRecord[] {
-  const openings = groupOpenings(records);
+  const statuses = groupOpenings(records);
   return records.filter(
     record =>
       record.service === service &&
       record.state === 'ready' &&
-      isInOpenGroup(record, openings)
+      isInOpenGroup(record, statuses)
   );
 }
--- a/src/site/groupOpenings.ts
+++ b/src/site/groupOpenings.ts
@@ -19,24 +19,24 @@
 
 /** Uses the latest epoch; within one, a group may break but never reopens. */
 export function groupOpenings(records: readonly TargetRecord[]): GroupStatuses {
-  const openings = new Map<string, GroupStatus>();
+  const statuses = new Map<string, GroupStatus>();
   for (const {group, state} of records) {
     if (group === undefined || state === 'gone') continue;
-    const known = openings.get(group.name);
+    const known = statuses.get(group.name);
     const {epoch} = group;
     if (known !== undefined && known.epoch > epoch) continue;
     const wasOpen = known?.epoch === epoch ? known.isOpen : true;
-    openings.set(group.name, {epoch, isOpen: wasOpen && group.open});
+    statuses.set(group.name, {epoch, isOpen: wasOpen && group.open});
   }
-  return openings;
+  return statuses;
 }
 
 /** Whether the target works alone, or its group is open. */
 export function isInOpenGroup(
   {group}: TargetRecord,
-  openings: GroupStatuses
+  statuses: GroupStatuses
 ): boolean {
-  return group === undefined || openings.get(group.name)?.isOpen === true;
+  return group === undefined || statuses.get(group.name)?.isOpen === true;
 }
 
 /** Name of the target's group; empty when it works alone. */
--- a/tests/coordinator.spec.ts
+++ b/tests/coordinator.spec.ts
@@ -58,9 +58,9 @@
   };
 }
 
-function report(ip: string, wanted: number, paceMs: number): SyncParams {
+function report(ip: string, wanted: number, passMs: number): SyncParams {
   const load = {inFlight: wanted, waiting: 0, arrivals: 1};
-  const pacesMs: Record<string, number> = paceMs > 0 ? {'': paceMs} : {};
+  const pacesMs: Record<string, number> = passMs > 0 ? {'': passMs} : {};
   return {
     from: {ip, hasDisk: false},
     bootId: ip,
@@ -86,7 +86,7 @@
     ip: string,
     wanted: number,
     zonesOut: string[] = [],
-    paceMs = 0
+    passMs = 0
   ) => {
     nowMs += 250;
     const agreed = {
@@ -97,7 +97,7 @@
       zonesOut,
     };
     const nodes = {revision: 1, all: () => []};
-    return coordinator.sync(report(ip, wanted, paceMs), agreed, SITE, nodes);
+    return coordinator.sync(report(ip, wanted, passMs), agreed, SITE, nodes);
   };
   const wait = (ms: number) => {
     nowMs += ms;
@@ -105,48 +105,48 @@
   return {sync, coordinator, wait};
 }
 
-const placesOf = (state: ReturnType<ReturnType<typeof fixture>['sync']>) =>
+const grantedSlots = (state: ReturnType<ReturnType<typeof fixture>['sync']>) =>
   state.grants[0]?.concurrency ?? 0;
 
-describe('coordinator of places', () => {
-  it('should lend all places to the one node that reports', () => {
+describe('coordinator', () => {
+  it('should grant all slots to the only node that reports', () => {
     const {sync} = fixture();
-    expect(placesOf(sync('n1', 4))).toBe(24);
+    expect(grantedSlots(sync('n1', 4))).toBe(24);
   });
 
-  // A zone is taken out of service. Its places stay counted, so that requests
-  // for three zones run into two: they wait at the targets, and all are late.
-  it('should count no places in zones that are out', () => {
+  // With the slots of a zone that is out still counted, requests for three zones
+  // are sent to two: they queue at the targets, and all are late.
+  it('should not count slots in zones that are out', () => {
     const {sync} = fixture();
-    expect(placesOf(sync('n1', 4, ['c']))).toBe(16);
+    expect(grantedSlots(sync('n1', 4, ['c']))).toBe(16);
   });
 
-  // A node that did not lead heard of the targets' changes only. When it leads,
-  // most are older news than silence bears: without a fresh start all targets
-  // are called silent, and callers are refused until each has told of itself.
-  it('should give targets time to tell a new leader of themselves', () => {
+  // A follower receives only changed records, so most of a new leader's are older
+  // than the silence timeout. Unless the timers restart, all targets count as
+  // silent, and callers are refused until each target has announced itself.
+  it('should give targets time to announce themselves to a new leader', () => {
     const {sync, coordinator, wait} = fixture();
     sync('n1', 4);
     wait(5_000);
     coordinator.reset();
-    expect(placesOf(sync('n1', 4))).toBe(24);
+    expect(grantedSlots(sync('n1', 4))).toBe(24);
     wait(5_000);
-    expect(placesOf(sync('n1', 4))).toBe(1);
+    expect(grantedSlots(sync('n1', 4))).toBe(1);
   });
 
-  it('should share the places by what nodes have in work', () => {
+  it('should divide the slots by the running requests of the nodes', () => {
     const {sync} = fixture();
     sync('n1', 4);
     const state = sync('n2', 20);
     expect(state.activeNodes).toBe(2);
-    const shares = [placesOf(sync('n1', 4)), placesOf(sync('n2', 20))];
+    const shares = [grantedSlots(sync('n1', 4)), grantedSlots(sync('n2', 20))];
     expect(shares[0]! + shares[1]!).toBe(24);
     expect(shares[1]).toBeGreaterThan(shares[0]!);
   });
 
-  // All callers reach other nodes than the leader. Without their reports it saw
-  // no stream, read no counts, and left the first map in force for good.
-  it('should tell the pace from the streams of other nodes', () => {
+  // All callers use other nodes than the leader. Without the reports of those
+  // nodes it saw no stream, read no counters, and kept the first map for good.
+  it('should take the pass duration from the streams of other nodes', () => {
     const {sync, coordinator} = fixture();
     sync('leader', 0, [], 0);
     expect(coordinator.passMs('s', '')).toBe(0);
--- a/tests/platform/nodes.spec.ts
+++ b/tests/platform/nodes.spec.ts
@@ -12,7 +12,7 @@
 
 const APP = path.join(__dirname, '..', '..', 'dist', 'marlpulley-app.cjs');
 const OK = 200;
-/** As `deploy/node.ini` has it. */
+/** The port that `deploy/node.ini` sets. */
 const METRICS_PORT = 9464;
 
 interface Reply {
@@ -43,13 +43,13 @@
       res.on('data', chunk => (text += String(chunk)));
       res.on('end', () => resolve({status: res.statusCode ?? 0, body: text}));
     });
-    req.on('timeout', () => req.destroy(new Error('no answer')));
+    req.on('timeout', () => req.destroy(new Error('no response')));
     req.on('error', reject);
     req.end(body);
   });
 }
 
-/** Nodes at addresses of their own, on the same ports, as on the platform. */
+/** Nodes at different addresses and on the same ports, as on the platform. */
 class Nodes {
   private readonly root = mkdtempSync(path.join(tmpdir(), 'marlpulley-nodes-'));
   private readonly running = new Map<string, ChildProcess>();
@@ -99,9 +99,9 @@
     );
   }
 
-  /** Resolves once the node has logged that it votes. */
-  async voting(ip: string): Promise<void> {
-    await eventually(`${ip} votes`, async () =>
+  /** Resolves once the node has logged that it is a voter. */
+  async untilVoter(ip: string): Promise<void> {
+    await eventually(`${ip} is a voter`, async () =>
       /"event":"log.changed"[^\n]*"voter":true/.test(this.lines.get(ip) ?? '')
     );
   }
@@ -124,7 +124,7 @@
     rmSync(this.root, {recursive: true, force: true});
   }
 
-  /** A call of an operator or target, until it is taken. */
+  /** Repeats a call of an operator or target until it succeeds. */
   order(ip: string, method: string, url: string, body = ''): Promise<Reply> {
     const what = `${method} ${url} at ${ip}`;
     return eventually(what, async () => {
@@ -161,7 +161,7 @@
   });
 }
 
-describe('nodes that find each other', () => {
+describe('nodes that discover each other', () => {
   const [A, B, C] = ['127.0.0.21', '127.0.0.22', '127.0.0.23'] as const;
   let nodes: Nodes;
   let target: http.Server;
@@ -182,9 +182,9 @@
     await nodes.stop();
   });
 
-  // The operator may reach any node. What one of them acknowledged must be read
-  // back exactly, from every other, or not at all.
-  it('should agree on a document and read it back as it was sent', async () => {
+  // The operator may use any node. A document that one of them acknowledged must
+  // be returned unchanged by every other one, or not at all.
+  it('should replicate a document and return it unchanged', async () => {
     const text = document(3);
     await nodes.order(A, 'PUT', '/-/config', text);
     for (const ip of [A, B, C])
@@ -194,16 +194,16 @@
     expect((await nodes.order(C, 'GET', '/-/config')).body).toBe(text);
   });
 
-  it('should refuse a document with a fault', async () => {
+  it('should reject a malformed document', async () => {
     const {control} = nodes.ports;
     const reply = await call(A, control, 'PUT', '/-/config', '{"version":9');
     expect(reply.status).toBe(400);
   });
 
-  // A target tells one node of itself; callers reach another one.
-  it('should serve by a target that told another node of itself', async () => {
+  // The target announces itself to one node; the caller uses another one.
+  it('should route to a target that announced itself to another node', async () => {
     const {port} = target.address() as AddressInfo;
-    const beat = {
+    const announcement = {
       service: 's',
       address: `127.0.0.1:${port}`,
       zone: 'a',
@@ -212,19 +212,24 @@
       sequence: 1,
       born: 1,
     };
-    await nodes.order(B, 'PUT', '/-/instances/i-1', JSON.stringify(beat));
-    const reply = await eventually('an answer at C', async () => {
+    await nodes.order(
+      B,
+      'PUT',
+      '/-/instances/i-1',
+      JSON.stringify(announcement)
+    );
+    const reply = await eventually('a response at C', async () => {
       const headers = {host: 'a.example', 'x-attempt-id': 'one'};
       const {callers} = nodes.ports;
-      const answer = await call(C, callers, 'GET', '/x/y', '', headers);
-      return answer.status === OK && answer;
+      const response = await call(C, callers, 'GET', '/x/y', '', headers);
+      return response.status === OK && response;
     });
     expect(reply.body).toBe('served');
     const ready = await call(C, nodes.ports.ready, 'GET', '/-/readiness');
     expect(ready.status).toBe(OK);
   });
 
-  it('should tell its counters as text', async () => {
+  it('should expose its metrics as text', async () => {
     const reply = await call(C, METRICS_PORT, 'GET', '/metrics');
     expect(reply.status).toBe(OK);
     for (const line of [
@@ -238,9 +243,9 @@
     expect(other.status).toBe(404);
   });
 
-  // One disk is lost, and its machine comes back empty. Then a second one dies:
-  // what was accepted before must still be there, and changes must go on.
-  it('should lose nothing when one disk is wiped and another dies', async () => {
+  // One machine loses its disk and comes back empty. Then a second one dies: what
+  // was accepted before must still be there, and changes must remain possible.
+  it('should lose nothing when one disk is wiped and another node dies', async () => {
     const text = document(7);
     await nodes.order(C, 'PUT', '/-/config', text);
     await nodes.kill(A);
@@ -248,7 +253,7 @@
     nodes.start(A, false);
     await nodes.order(A, 'GET', '/-/config');
     await nodes.order(B, 'PUT', '/-/config', document(8));
-    await nodes.voting(A);
+    await nodes.untilVoter(A);
     await nodes.kill(C);
     await nodes.order(A, 'PUT', '/-/config', document(9));
     expect((await nodes.order(A, 'GET', '/-/config')).body).toBe(document(9));
@@ -271,10 +276,11 @@
   }, 30_000);
   afterAll(() => nodes.stop());
 
-  // Callers of two nodes out of three get 503 for good. The seeds were exchanged
-  // for a machine without a disk, then all processes are killed and start at
-  // once: the one with the disk leads before it has asked anybody, and the
-  // others know only each other.
+  // The seeds were replaced by a machine without a disk, then all processes are
+  // killed and start at once. The node with the disk leads before it has
+  // contacted any other, and the others know only each other: unless the leader
+  // announces itself to the seeds, callers of two of the three nodes get 503 for
+  // good.
   it('should find the leader after all started at once', async () => {
     await nodes.kill(DISK);
     nodes.seeds = [SEED];
--- a/tests/reports.spec.ts
+++ b/tests/reports.spec.ts
@@ -39,9 +39,9 @@
 }
 
 describe('reports to the leader', () => {
-  // With a fixed period the reports of 300 nodes take more than the leader's core,
-  // and changes wait behind them for seconds.
-  it('should not come more often in all as nodes are added', () => {
+  // With a fixed period, the reports of 300 nodes need more than one CPU core of
+  // the leader, and changes wait behind them for seconds.
+  it('should keep to a total rate as nodes are added', () => {
     const perSecond = (nodes: number) =>
       (nodes * 1_000) / reportPeriodMs(nodes);
     expect(perSecond(7)).toBeCloseTo(70);
@@ -49,39 +49,44 @@
       expect(perSecond(nodes)).toBeLessThanOrEqual(334);
   });
 
-  // A new leader is told by every node of all targets: nodes times targets
-  // records at once, while callers wait for it.
-  it('should tell a new leader only of targets that were heard here lately', () => {
-    const heard = new LocalAnnouncements();
-    heard.add(record('old'), 0);
-    heard.add(record('new'), 8_000);
-    heard.takeUnsent();
-    heard.requeueRecent(10_000);
-    expect(heard.takeUnsent().map(({id}) => id)).toEqual(['new']);
+  // If every node sent records of all targets, a new leader would receive nodes
+  // times targets records at once, while callers wait for it.
+  it('should send a new leader only records of recent announcements', () => {
+    const announcements = new LocalAnnouncements();
+    announcements.add(record('old'), 0);
+    announcements.add(record('new'), 8_000);
+    announcements.takeUnsent();
+    announcements.requeueRecent(10_000);
+    expect(announcements.takeUnsent().map(({id}) => id)).toEqual(['new']);
   });
 
-  // The leader that knew of it is lost. A target that leaves would get requests
-  // again that it must not get any more.
-  it('should tell a new leader of targets that left, for as long as it matters', () => {
-    const heard = new LocalAnnouncements();
-    heard.add(record('left', 'gone'), 0);
-    heard.add(record('leaving', 'draining'), 0);
-    heard.takeUnsent();
-    heard.requeueRecent(50_000);
-    expect(heard.takeUnsent().map(({id}) => id)).toEqual(['left', 'leaving']);
+  // The leader that knew of a departure is lost. Unless the new leader learns of
+  // it, the leaving target gets requests again that it must not get.
+  it('should send a new leader departures of targets for longer', () => {
+    const announcements = new LocalAnnouncements();
+    announcements.add(record('left', 'gone'), 0);
+    announcements.add(record('leaving', 'draining'), 0);
+    announcements.takeUnsent();
+    announcements.requeueRecent(50_000);
+    expect(announcements.takeUnsent().map(({id}) => id)).toEqual([
+      'left',
+      'leaving',
+    ]);
   });
 
-  it('should keep what a leader may not have received, but nothing outdated', () => {
-    const heard = new LocalAnnouncements();
-    heard.add(record('a'), 0);
-    const taken = heard.takeUnsent();
-    heard.add(record('a', 'draining'), 10);
-    heard.requeue(taken);
-    expect(heard.takeUnsent().map(one => one.state)).toEqual(['draining']);
+  it('should requeue what a leader may not have received, but nothing outdated', () => {
+    const announcements = new LocalAnnouncements();
+    announcements.add(record('a'), 0);
+    const taken = announcements.takeUnsent();
+    announcements.add(record('a', 'draining'), 10);
+    announcements.requeue(taken);
+    expect(announcements.takeUnsent().map(one => one.state)).toEqual([
+      'draining',
+    ]);
   });
 
-  // A late answer of an old leader must not take a node back.
-  it('should take no answer of an older leader or position', () => {
+  // A late reply of an earlier leader must not revert the view of a node.
+  it('should treat replies of an earlier leader or log position as stale', () => {
     const progress = new SyncCursor();
     expect(progress.advance(state({term: 3, index: 9}), 0)).toBe(true);
     expect(progress.isStale(state({term: 2, index: 20}))).toBe(true);
@@ -89,7 +94,7 @@
     expect(progress.isStale(state({term: 4, index: 9}))).toBe(false);
   });
 
-  it('should ask for the list of nodes again before they are forgotten', () => {
+  it('should request the list of nodes again before nodes expire', () => {
     const progress = new SyncCursor();
     const nodes = [{ip: '10.0.0.2', hasDisk: true}];
     progress.advance(state({nodes, nodesRevision: 4}), 0);
@@ -97,7 +102,7 @@
     expect(progress.reportParams(6_000).nodesRevision).toBeUndefined();
   });
 
-  it('should number the nodes that are found and forgotten', () => {
+  it('should increase the revision as nodes are added and expire', () => {
     let nowMs = 0;
     const self = {ip: '10.0.0.1', hasDisk: true};
     const none = () => ({
--- a/tests/serviceGroups.spec.ts
+++ b/tests/serviceGroups.spec.ts
@@ -58,10 +58,10 @@
 function fixture() {
   const limits = new GroupLimits();
   let nowMs = 0;
-  /** Places after a second of such passes. */
-  const placesAfter = (
+  /** Concurrency after a second of passes of this duration. */
+  const limitAfter = (
     running: number,
-    paceMs: number,
+    observedMs: number,
     outlook: Partial<MapOutlook>,
     isWhole = true
   ) => {
@@ -71,12 +71,12 @@
       waiting: 0,
       arrivals: 0,
       byTarget: {},
-      pacesMs: {g: paceMs},
+      pacesMs: {g: observedMs},
     };
-    let places = 0;
+    let limit = 0;
     for (let i = 0; i < 1_000 / STEP_MS; i++) {
       nowMs += STEP_MS;
-      places = computeConcurrency(limits, {
+      limit = computeConcurrency(limits, {
         service: SERVICE,
         records: RECORDS,
         loads: [load],
@@ -92,46 +92,47 @@
         nowMs,
       }).total;
     }
-    return places;
+    return limit;
   };
-  return {placesAfter};
+  return {limitAfter};
 }
 
-describe('places of a group of ranks', () => {
-  it('should give all places while no shift is due', () => {
-    const {placesAfter} = fixture();
-    expect(placesAfter(60, passMs(60, 1.2), {})).toBe(RANKS * SLOTS);
+describe('concurrency of a group of ranks', () => {
+  it('should allow all slots while no shift is due', () => {
+    const {limitAfter} = fixture();
+    expect(limitAfter(60, passMs(60, 1.2), {})).toBe(RANKS * SLOTS);
   });
 
-  // Other experts come into demand each three seconds. With all places in use
-  // at that moment, every stream has one pause that its caller does not accept.
-  it('should bear the next shift with hardly longer pauses', () => {
-    const {placesAfter} = fixture();
-    const places = placesAfter(60, passMs(60, 1.2), {dueSkew: 3.4});
-    expect(passMs(places, 3.4)).toBeLessThan(1.1 * PAUSE_MS);
-    expect(places).toBeGreaterThan(0.6 * RANKS * SLOTS);
+  // Demand shifts to other experts every three seconds. With all slots in use at
+  // that moment, every stream has one pause that its caller does not accept.
+  it('should allow for the next shift with hardly longer pauses', () => {
+    const {limitAfter} = fixture();
+    const limit = limitAfter(60, passMs(60, 1.2), {dueSkew: 3.4});
+    expect(passMs(limit, 3.4)).toBeLessThan(1.1 * PAUSE_MS);
+    expect(limit).toBeGreaterThan(0.6 * RANKS * SLOTS);
   });
 
-  // A new leader hears of the nodes one after the other: the pace is that of
-  // all requests, and only a part of them is known.
-  it('should not judge the cost before all nodes have told their loads', () => {
-    expect(fixture().placesAfter(10, 100, {}, false)).toBe(RANKS * SLOTS);
+  // A new leader receives the reports of nodes one after the other: passes take
+  // as long as all requests need, but only some of the requests are known.
+  it('should not estimate the cost before all nodes have reported', () => {
+    expect(fixture().limitAfter(10, 100, {}, false)).toBe(RANKS * SLOTS);
   });
 
-  // Prompts and answers are longer than usual: each request costs a half more
-  // than its engine's profile tells, also after the next shift.
-  it('should correct the profile by the passes that it sees', () => {
-    const {placesAfter} = fixture();
+  // Prompts and responses are longer than usual: each request costs half as much
+  // again as the profile of its engine says, also after the next shift.
+  it('should correct the profile by observed passes', () => {
+    const {limitAfter} = fixture();
     const cost = passMs(60, 1.2) - fixedPassMs(ENGINE);
-    const paceMs = fixedPassMs(ENGINE) + 1.5 * cost;
-    const usual = placesAfter(60, passMs(60, 1.2), {dueSkew: 3.4});
-    const places = fixture().placesAfter(60, paceMs, {dueSkew: 3.4});
-    expect(places).toBeCloseTo(usual / 1.5, 0);
+    const observedMs = fixedPassMs(ENGINE) + 1.5 * cost;
+    const usual = limitAfter(60, passMs(60, 1.2), {dueSkew: 3.4});
+    const limit = fixture().limitAfter(60, observedMs, {dueSkew: 3.4});
+    expect(limit).toBeCloseTo(usual / 1.5, 0);
   });
 
-  // All power was lost, and the group forms anew with its first map. Nobody orders
-  // it yet; with all places in use passes take twice as long as callers accept.
-  it('should allow for the first map while nobody orders maps', () => {
+  // After a loss of all power, the group re-forms with its first map, and nothing
+  // controls its maps yet. With all slots in use, passes take twice as long as
+  // callers accept.
+  it('should allow for the first map while nothing controls maps', () => {
     const load = {
       service: 's',
       inFlight: 0,
@@ -140,7 +141,7 @@
       byTarget: {},
       pacesMs: {},
     };
-    const places = computeConcurrency(new GroupLimits(), {
+    const limit = computeConcurrency(new GroupLimits(), {
       service: SERVICE,
       records: RECORDS,
       loads: [load],
@@ -149,61 +150,61 @@
       outlookOf: () => undefined,
       nowMs: 0,
     }).total;
-    expect(passMs(places, 3)).toBeLessThan(PAUSE_MS);
+    expect(passMs(limit, 3)).toBeLessThan(PAUSE_MS);
   });
 
-  // A switch holds the group before a pass. Streams show one long pause, which
-  // says nothing of the cost of a request: half of the callers were refused for
-  // the six seconds after it.
-  it('should not take the hold of a switch for a slow group', () => {
-    const {placesAfter} = fixture();
-    placesAfter(60, passMs(60, 1.2), {});
-    expect(placesAfter(60, 118, {isHeld: true})).toBe(RANKS * SLOTS);
-    expect(placesAfter(60, passMs(60, 1.2), {})).toBe(RANKS * SLOTS);
+  // A map switch holds the group before a pass. Streams then show one long pause
+  // that is unrelated to the cost of requests. Taken for cost, it had half of the
+  // callers refused for the next six seconds.
+  it('should not count the hold of a map switch as request cost', () => {
+    const {limitAfter} = fixture();
+    limitAfter(60, passMs(60, 1.2), {});
+    expect(limitAfter(60, 118, {isHeld: true})).toBe(RANKS * SLOTS);
+    expect(limitAfter(60, passMs(60, 1.2), {})).toBe(RANKS * SLOTS);
   });
 
-  // The shift is there, and passes are as long as callers bear: nobody more.
-  it('should let no more in while passes are too long', () => {
-    const {placesAfter} = fixture();
-    expect(placesAfter(90, 135, {})).toBeLessThan(90);
+  // After the shift, passes already take longer than callers accept.
+  it('should admit no more requests while passes are too long', () => {
+    const {limitAfter} = fixture();
+    expect(limitAfter(90, 135, {})).toBeLessThan(90);
   });
 });
 
-describe('shifts that are due', () => {
-  // All power was lost. The group stands under its first map, its demand is not
-  // known yet, and all callers come back: passes are as long as after a shift.
-  it('should expect a usual shift before any was seen', () => {
-    const memory = new ShiftHistory(0, 0);
-    expect(memory.due(100)).toBe(3);
-    expect(memory.due(13_000)).toBe(0);
+describe('demand shifts that are due', () => {
+  // After a loss of all power, the group runs with its first map, its demand is
+  // not known yet, and all callers return: passes are as long as after a shift.
+  it('should expect a typical shift before any was observed', () => {
+    const history = new ShiftHistory(0, 0);
+    expect(history.due(100)).toBe(3);
+    expect(history.due(13_000)).toBe(0);
   });
 
-  it('should go on with what an earlier leader told', () => {
+  it('should continue with the skew that an earlier leader granted', () => {
     expect(new ShiftHistory(3.4, 0).due(100)).toBe(3.4);
   });
 
-  // After a shift a backlog waits. The next one is three seconds away: until
-  // then the group may run all it can, and only then runs fewer.
-  it('should expect none sooner than they came before', () => {
-    const memory = new ShiftHistory(3.4, 0);
-    for (const atMs of [3_400, 6_800]) memory.note(3.4, atMs);
-    expect(memory.due(7_500)).toBe(0);
-    expect(memory.due(9_100)).toBe(0);
-    expect(memory.due(9_300)).toBe(3.4);
-    expect(memory.due(12_000)).toBe(3.4);
+  // A shift leaves a backlog, and the next one is three seconds away: until then
+  // the group may use all its slots, and only then runs fewer requests.
+  it('should expect no shift sooner than after the observed interval', () => {
+    const history = new ShiftHistory(3.4, 0);
+    for (const atMs of [3_400, 6_800]) history.note(3.4, atMs);
+    expect(history.due(7_500)).toBe(0);
+    expect(history.due(9_100)).toBe(0);
+    expect(history.due(9_300)).toBe(3.4);
+    expect(history.due(12_000)).toBe(3.4);
   });
 
-  it('should go by the shortest pause, and by large shifts only', () => {
-    const memory = new ShiftHistory(3.4, 0);
-    memory.note(1.4, 500);
-    memory.note(3.2, 2_000);
-    memory.note(3.3, 6_000);
-    expect(memory.due(6_500)).toBe(0);
-    expect(memory.due(7_000)).toBe(3.4);
+  it('should use the shortest interval between large shifts', () => {
+    const history = new ShiftHistory(3.4, 0);
+    history.note(1.4, 500);
+    history.note(3.2, 2_000);
+    history.note(3.3, 6_000);
+    expect(history.due(6_500)).toBe(0);
+    expect(history.due(7_000)).toBe(3.4);
   });
 
-  it('should forget shifts that come no more', () => {
-    const memory = new ShiftHistory(3.4, 0);
-    expect(memory.due(13_000)).toBe(0);
+  it('should expire old shifts', () => {
+    const history = new ShiftHistory(3.4, 0);
+    expect(history.due(13_000)).toBe(0);
   });
 });
--- a/tests/targetTable.spec.ts
+++ b/tests/targetTable.spec.ts
@@ -16,18 +16,18 @@
   };
 }
 
-describe('table of targets', () => {
-  it('should let a late announcement of the same life change nothing', () => {
+describe('target table', () => {
+  it('should ignore a late announcement of the same boot', () => {
     const table = new TargetTable();
     table.merge(record({sequence: 5, state: 'draining'}), 0);
     expect(table.merge(record({sequence: 4}), 1)).toBe(false);
     expect(table.find('i-1')?.state).toBe('draining');
   });
 
-  // An announcement was held up by a cut. Its sender has crashed meanwhile, and
-  // another target has begun at the same address: requests must not go there
+  // A network cut delays an announcement. Its sender has crashed meanwhile, and
+  // another target has started at the same address: requests must not go there
   // as if it were the first.
-  it('should keep an address for the life that began last', () => {
+  it('should keep an address for the latest boot', () => {
     const table = new TargetTable();
     table.merge(record(), 0);
     table.merge(record({id: 'i-2', bornMs: 2_000, service: 'plain'}), 1);
@@ -35,7 +35,7 @@
     expect(table.merge(record({sequence: 9}), 2)).toBe(false);
   });
 
-  it('should take a new life under an id that left', () => {
+  it('should accept a new boot of an id that left', () => {
     const table = new TargetTable();
     table.merge(record(), 0);
     table.leave('i-1', 1);
@@ -44,7 +44,7 @@
     expect(table.find('i-1')?.state).toBe('ready');
   });
 
-  it('should mark a target silent that told nothing, until it tells again', () => {
+  it('should mark a target silent until it announces itself again', () => {
     const table = new TargetTable();
     table.merge(record(), 0);
     table.expire(4_000, 4_200);
@@ -55,7 +55,7 @@
     expect(table.find('i-1')?.state).toBe('ready');
   });
 
-  it('should number changes, and only those that matter to others', () => {
+  it('should increase the revision only for changes that matter to others', () => {
     const table = new TargetTable();
     table.merge(record(), 0);
     const {revision} = table;
