--- a/src/cluster/agreedState.ts
+++ b/src/cluster/agreedState.ts
@@ -30,10 +30,10 @@
 const REMOVE_SILENT_VOTER_AFTER_MS = 8_000;
 /**
  * Shorter than the defaults of the log. After the loss of the leader or a
- * restart of all nodes, callers have no site document and targets get no grants
- * until a leader is elected: 1.2 s with the defaults, half of it with these
- * values. Heartbeats every 100 ms to a handful of voters cost next to nothing,
- * and three of them fit into the shortest election timeout.
+ * restart of all nodes, callers may find no site document and targets no granted
+ * slots until a leader is elected: 1.2 s with the defaults, half of it with
+ * these values. Heartbeats every 100 ms to a handful of voters cost next to
+ * nothing, and three of them fit into the shortest election timeout.
  */
 const LOG_TIMING: LogTiming = {
   heartbeatMs: 100,
--- a/src/cluster/leaderDuties.ts
+++ b/src/cluster/leaderDuties.ts
@@ -1,6 +1,6 @@
 /**
  * Handles what only the leader can: reports of all nodes, proposals, and reads
- * that a quorum confirms. A node that does not lead replies with the leader.
+ * that a quorum confirms. Other nodes reply with the leader that they know.
  */
 
 import type {Logger} from '../core/logger';
--- a/src/cluster/rpcServer.ts
+++ b/src/cluster/rpcServer.ts
@@ -7,7 +7,7 @@
 import type {Logger} from '../core/logger';
 import {readText} from '../core/readText';
 
-/** The largest bodies are log snapshots, in chunks of 1 MiB characters. */
+/** A snapshot of the log arrives in chunks of 1 MiB characters. */
 const MAX_BODY_BYTES = 8 << 20;
 /** Longer than `RpcClient` keeps idle connections, so that it closes them first. */
 const IDLE_TIMEOUT_MS = 15_000;
