--- a/src/cluster/clusterNode.ts
+++ b/src/cluster/clusterNode.ts
@@ -1,7 +1,7 @@
 /**
- * A node's part in the cluster: who is there, what is agreed, what is known of
- * targets, and what this node may use. Everything a gateway needs to serve
- * stands in `view`, also while nobody else can be reached.
+ * A node as a member of the cluster: it knows the other nodes, the replicated
+ * state, the targets, and the concurrency granted to it. `view` and `table` hold
+ * all that a gateway needs, also while no other node can be reached.
  */
 
 import {Subscription, defer, repeat, timer} from 'rxjs';
@@ -15,15 +15,15 @@
 import {unpackText} from '../site/packText';
 import type {MapOutlook} from '../policy/mapOutlook';
 import {reportPeriodMs} from '../policy/reportPeriod';
-import {AgreedState} from './agreedState';
+import {LogReplica} from './agreedState';
 import {Coordinator} from './coordinator';
-import {LeaderDuties} from './leaderDuties';
+import {LeaderService} from './leaderDuties';
 import {findFounders} from './findFounders';
 import {PeerDiscovery} from './peerDiscovery';
-import {HeardRecords} from './heardRecords';
-import {HeldSite} from './heldSite';
-import {LeaderLink} from './leaderLink';
-import {LeaderProgress} from './leaderProgress';
+import {LocalAnnouncements} from './heardRecords';
+import {ActiveSite} from './heldSite';
+import {LeaderClient} from './leaderLink';
+import {SyncCursor} from './leaderProgress';
 import type {
   NodeInfo,
   OperatorCommand,
@@ -48,23 +48,26 @@
 import {TargetTable} from './targetTable';
 import * as z from 'zod';
 
-/** A report that takes so long is worth no more than the next one. */
+/** After this long, the next report is worth as much as a late reply. */
 const SYNC_TIMEOUT_MS = 700;
 const LOG_TIMEOUT_MS = 1_000;
-/** A disk that cannot be opened is tried again after this. */
-const REJOIN_MS = 400;
-/** A commit waits for two syncs of a disk; slow ones take a quarter of a second. */
+/** Delay before a log that could not be opened is tried again. */
+const OPEN_RETRY_MS = 400;
+/** A commit waits for two disk syncs; a slow one takes a quarter of a second. */
 const PROPOSE_TIMEOUT_MS = 2_500;
 const READ_TIMEOUT_MS = 1_500;
-/** Heartbeats missed before a target counts as silent, with one that is late. */
-const MISSED_HEARTBEATS = 3.5;
+/**
+ * Heartbeat periods without an announcement after which a target counts as
+ * silent; includes time for one that is late.
+ */
+const SILENT_AFTER_HEARTBEATS = 3.5;
 
-/** What the node is started with. */
+/** Settings and dependencies of a node. */
 export interface ClusterNodeOptions {
   readonly self: NodeInfo;
   readonly port: number;
   readonly seeds: readonly string[];
-  /** Empty without a disk. */
+  /** Folder of the log; empty for a node without a disk. */
   readonly dataDir: string;
   readonly isFirstStart: boolean;
   readonly lossesBorne: number;
@@ -73,11 +76,11 @@
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
   decodeSite(text: string): DecodedSite;
-  /** What this node sees of each service, since the last call. */
+  /** Loads by service; arrivals are counted since the last call. */
   takeLoads(): readonly ServiceLoad[];
 }
 
-/** What a gateway serves by. */
+/** State by which a gateway routes and admits requests. */
 export interface ClusterView {
   readonly index: SiteIndex | undefined;
   readonly zonesOut: ReadonlySet<string>;
@@ -88,26 +91,26 @@
 /** A running node. */
 export class ClusterNode {
   readonly table = new TargetTable();
-  private readonly duties: LeaderDuties;
+  private readonly leaderService: LeaderService;
   private readonly coordinator: Coordinator;
   private readonly bootId = newBootId();
   private readonly rpc: RpcClient;
   private readonly server: RpcServer;
   private readonly directory: NodeDirectory;
-  private readonly link: LeaderLink;
+  private readonly leaderClient: LeaderClient;
   private readonly peerDiscovery: PeerDiscovery;
   private readonly subscription = new Subscription();
-  private agreed: AgreedState | undefined;
+  private replica: LogReplica | undefined;
   private current: ClusterView = {
     index: undefined,
     zonesOut: new Set(),
     grants: new Map(),
     activeNodes: 1,
   };
-  private readonly held: HeldSite;
-  private readonly heard = new HeardRecords();
-  private readonly progress = new LeaderProgress();
-  private syncedAtMs = -Infinity;
+  private readonly activeSite: ActiveSite;
+  private readonly heard = new LocalAnnouncements();
+  private readonly progress = new SyncCursor();
+  private syncStartedAtMs = -Infinity;
   private outlookOf: (
     service: string,
     group: string
@@ -115,7 +118,7 @@
 
   private constructor(private readonly options: ClusterNodeOptions) {
     const {self, port, seeds, logger, heartbeatMs} = options;
-    this.held = new HeldSite(options.decodeSite, logger);
+    this.activeSite = new ActiveSite(options.decodeSite, logger);
     const nowMs = () => performance.now();
     this.rpc = new RpcClient(port);
     this.server = new RpcServer(logger);
@@ -130,25 +133,25 @@
       nowMs
     );
     this.peerDiscovery = new PeerDiscovery(this.directory, this.rpc, logger);
-    this.link = new LeaderLink(
+    this.leaderClient = new LeaderClient(
       this.rpc,
       this.directory,
       logger,
-      () => this.agreed?.leader
+      () => this.replica?.leader
     );
     this.coordinator = new Coordinator(
       this.table,
       logger,
       nowMs,
-      heartbeatMs * MISSED_HEARTBEATS,
+      heartbeatMs * SILENT_AFTER_HEARTBEATS,
       (service, group) => this.outlookOf(service, group)
     );
-    this.duties = new LeaderDuties({
-      agreed: () => this.agreed,
+    this.leaderService = new LeaderService({
+      replica: () => this.replica,
       directory: this.directory,
       coordinator: this.coordinator,
       site: () => this.site,
-      leader: () => this.link.leader,
+      leader: () => this.leaderClient.leader,
       logger,
     });
   }
@@ -170,38 +173,38 @@
     return this.current;
   }
 
-  /** Whether this node leads and knows all that was agreed before. */
+  /** Whether this node leads and has applied all earlier commits. */
   get leads(): boolean {
-    return this.duties.isConfirmed;
+    return this.leaderService.isCaughtUp;
   }
 
-  /** Whether some node is known to lead. */
+  /** Whether a leader is known; it may be this node. */
   get knowsLeader(): boolean {
-    return this.link.leader !== undefined;
+    return this.leaderClient.leader !== undefined;
   }
 
   /** Term in which this node leads. */
   get term(): number {
-    return this.duties.term;
+    return this.leaderService.term;
   }
 
-  /** On the leader: pace of a group as all nodes reported it; 0 when none runs. */
+  /** On the leader: median pass duration of a group; 0 when no stream runs. */
   paceMs(service: string, group: string): number {
-    return this.coordinator.paceMs(service, group);
+    return this.coordinator.passMs(service, group);
   }
 
-  /** On the leader: requests of all nodes that run in a group. */
+  /** On the leader: running requests of all nodes in a group. */
   runningRequests(service: string, group: string): number {
     return this.coordinator.runningRequests(service, group);
   }
 
-  /** On the leader: other nodes that reported within the last moment. */
+  /** On the leader: other nodes with a recent report. */
   recentNodes(): readonly NodeInfo[] {
     const {self} = this.options;
     return this.coordinator.recentNodes().filter(({ip}) => ip !== self.ip);
   }
 
-  /** Answers calls of other nodes; parameters are validated by the schema. */
+  /** Registers an RPC method; its parameters are validated by the schema. */
   serve<T>(
     method: string,
     schema: z.ZodType<T>,
@@ -210,7 +213,7 @@
     this.server.addMethod(method, schema, handle);
   }
 
-  /** Calls another node; the answer is the caller's to validate. */
+  /** Calls an RPC method of another node; the caller validates the result. */
   callNode(
     ip: string,
     method: string,
@@ -220,7 +223,7 @@
     return this.rpc.call(ip, method, params, timeoutMs);
   }
 
-  /** Who knows of the expert maps while this node leads. */
+  /** Sets the source of map outlooks, which is used while this node leads. */
   useOutlook(
     of: (service: string, group: string) => MapOutlook | undefined
   ): void {
@@ -231,33 +234,33 @@
     this.directory.setSeeds(seeds);
   }
 
-  /** Takes in what a target told this node; false when it is outdated. */
+  /** Merges an announcement of a target; false when it is outdated. */
   hear(announcement: TargetAnnouncement): boolean {
     const now = performance.now();
     const isNew = this.table.merge(announcement, now);
-    if (isNew) this.heard.note(announcement, now);
+    if (isNew) this.heard.add(announcement, now);
     return isNew;
   }
 
-  /** Takes in the goodbye of a target. */
+  /** Marks a target that announced its departure as gone. */
   hearLeave(id: string): void {
     const now = performance.now();
     const record = this.table.leave(id, now);
-    if (record !== undefined) this.heard.note(record, now);
+    if (record !== undefined) this.heard.add(record, now);
   }
 
-  /** Resolves once the leader knows what was heard here; rejects when not. */
+  /** Reports now; resolves once the leader has this node's announcements. */
   async report(): Promise<void> {
     await this.syncOnce();
   }
 
   /** Resolves once the command is durable on a quorum. */
   async propose(command: OperatorCommand): Promise<void> {
-    if (this.agreed?.leads === true) {
-      await this.duties.propose(command);
+    if (this.replica?.leads === true) {
+      await this.leaderService.propose(command);
       return;
     }
-    await this.link.call({
+    await this.leaderClient.call({
       method: NODE_METHODS.propose,
       params: {command},
       reply: PROPOSE_REPLY,
@@ -265,26 +268,26 @@
     });
   }
 
-  /** The newest document, proven by a quorum; rejects when none can be had. */
+  /** The newest site document, confirmed by a quorum; rejects without one. */
   async readSite(): Promise<{version: number; text: string}> {
     const heldVersion = this.current.index?.site.version ?? NO_SITE_VERSION;
     const reply =
-      this.agreed?.leads === true
-        ? await this.duties.readSite(heldVersion)
-        : await this.link.call({
+      this.replica?.leads === true
+        ? await this.leaderService.readSite(heldVersion)
+        : await this.leaderClient.call({
             method: NODE_METHODS.readSite,
             params: {heldVersion},
             reply: READ_SITE_REPLY,
             timeoutMs: READ_TIMEOUT_MS,
           });
-    const packed = reply.packed ?? this.held.packed;
+    const packed = reply.packed ?? this.activeSite.packed;
     const text = packed === '' ? '' : unpackText(packed);
     return {version: reply.version, text};
   }
 
   async stop(): Promise<void> {
     this.subscription.unsubscribe();
-    await this.agreed?.close();
+    await this.replica?.close();
     this.server.close();
     this.rpc.close();
   }
@@ -296,7 +299,7 @@
       ? await findFounders(directory, rpc, logger)
       : [];
     try {
-      this.agreed = await AgreedState.open({
+      this.replica = await LogReplica.open({
         directory,
         dataDir,
         founders,
@@ -306,104 +309,107 @@
         after: (ms, run) => setTimeout(run, ms).unref(),
       });
     } catch (err) {
-      logger.error({event: 'disk.lost', err: String(err)}, 'no log here');
-      setTimeout(() => void this.joinLog(), REJOIN_MS).unref();
+      logger.error({event: 'disk.lost', err: String(err)}, 'cannot open log');
+      setTimeout(() => void this.joinLog(), OPEN_RETRY_MS).unref();
     }
   }
 
   private addMethods(): void {
     const {server} = this;
     server.addMethod(NODE_METHODS.hello, HELLO_PARAMS, async ({from}) => {
-      this.directory.note([from]);
-      const {leader} = this.link;
+      this.directory.markSeen([from]);
+      const {leader} = this.leaderClient;
       const nodes = this.directory.all();
       return {self: this.directory.self, nodes, leader};
     });
     const logParams = z.object({message: z.unknown()});
     server.addMethod(NODE_METHODS.log, logParams, async ({message}) => {
-      const log = this.agreed?.current?.log;
+      const log = this.replica?.current?.log;
       if (log === undefined) throw new Error('no log here');
       return log.receive(message);
     });
-    const {duties} = this;
+    const {leaderService} = this;
     server.addMethod(NODE_METHODS.sync, SYNC_PARAMS, params =>
-      duties.sync(params)
+      leaderService.sync(params)
     );
     server.addMethod(NODE_METHODS.propose, PROPOSE_PARAMS, ({command}) =>
-      duties.takeProposal(command)
+      leaderService.handleProposal(command)
     );
     server.addMethod(NODE_METHODS.readSite, READ_SITE_PARAMS, ({heldVersion}) =>
-      duties.answerRead(heldVersion)
+      leaderService.handleReadSite(heldVersion)
     );
   }
 
-  /** Until the next report; one that took long is followed at once. */
+  /** Delay until the next report; 0 when the last one exceeded the period. */
   private get syncDelayMs(): number {
     const periodMs = reportPeriodMs(this.current.activeNodes);
-    return Math.max(0, this.syncedAtMs + periodMs - performance.now());
+    return Math.max(0, this.syncStartedAtMs + periodMs - performance.now());
   }
 
   private async sync(): Promise<void> {
-    this.syncedAtMs = performance.now();
+    this.syncStartedAtMs = performance.now();
     try {
       await this.syncOnce();
       this.options.metrics.reported('done');
     } catch (err) {
       this.options.metrics.reported('failed');
-      this.options.logger.debug({event: 'sync.failed', err: String(err)}, '');
+      this.options.logger.debug(
+        {event: 'sync.failed', err: String(err)},
+        'report failed'
+      );
       this.peerDiscovery.probePeers();
     }
     if (this.leads) this.peerDiscovery.announceToSeeds(performance.now());
   }
 
   private async syncOnce(): Promise<void> {
-    const heard = this.heard.take();
+    const announcements = this.heard.takeUnsent();
     try {
-      const params = this.syncParams(heard);
+      const params = this.syncParams(announcements);
       const reply =
-        this.agreed?.leads === true
-          ? await this.duties.sync(params)
-          : await this.link.call({
+        this.replica?.leads === true
+          ? await this.leaderService.sync(params)
+          : await this.leaderClient.call({
               method: NODE_METHODS.sync,
               params,
               reply: SYNC_REPLY,
               timeoutMs: SYNC_TIMEOUT_MS,
             });
-      if (reply.kind !== 'state') throw new Error('no leader');
-      this.adopt(reply);
+      if (reply.kind !== 'state') throw new Error('this node no longer leads');
+      this.applyReply(reply);
     } catch (err) {
-      this.heard.putBack(heard);
+      this.heard.requeue(announcements);
       throw err;
     }
   }
 
-  private syncParams(heard: readonly TargetRecord[]): SyncParams {
+  private syncParams(announcements: readonly TargetRecord[]): SyncParams {
     return {
       from: this.directory.self,
       bootId: this.bootId,
       siteVersion: this.current.index?.site.version ?? NO_SITE_VERSION,
-      ...this.progress.params(performance.now()),
-      records: [...heard],
+      ...this.progress.reportParams(performance.now()),
+      records: [...announcements],
       loads: [...this.options.takeLoads()],
     };
   }
 
-  private adopt(reply: SyncState): void {
-    if (this.progress.isOlder(reply)) return;
+  private applyReply(reply: SyncState): void {
+    if (this.progress.isStale(reply)) return;
     const now = performance.now();
-    this.directory.note(reply.nodes);
-    if (this.progress.note(reply, now)) this.heard.tellAgain(now);
+    this.directory.markSeen(reply.nodes);
+    if (this.progress.advance(reply, now)) this.heard.requeueRecent(now);
     if (!this.leads)
-      for (const record of reply.records) this.table.adopt(record, now);
+      for (const record of reply.records) this.table.mergeShared(record, now);
     this.current = {
-      index: this.held.adopt(reply.siteVersion, reply.packedSite),
+      index: this.activeSite.update(reply.siteVersion, reply.packedSite),
       zonesOut: new Set(reply.zonesOut),
       grants: new Map(reply.grants.map(grant => [grant.service, grant])),
       activeNodes: Math.max(1, reply.activeNodes),
     };
   }
 
-  /** The site for the leader's own decisions. */
+  /** The active site, which the leader's decisions are based on. */
   get site(): Site | undefined {
     return this.current.index?.site;
   }
--- a/src/cluster/findFounders.ts
+++ b/src/cluster/findFounders.ts
@@ -1,7 +1,7 @@
 /**
- * Who founds the log when the whole deployment starts for the first time: those
- * of the seeds that have a disk. All nodes are given the same seeds then, so
- * that all come to the same answer, and only one group can be founded.
+ * Determines the first voters of the log when a deployment starts for the first
+ * time: the seeds that have a disk. All nodes have the same seeds at that time,
+ * so all of them choose the same founders, and only one group can form.
  */
 
 import {firstValueFrom, timer} from 'rxjs';
@@ -11,11 +11,11 @@
 import type {NodeDirectory} from './nodeDirectory';
 import type {RpcClient} from './rpcClient';
 
-/** Nodes start within a third of a second of each other, in any order. */
-const RETRY_MS = 150;
-const ASK_TIMEOUT_MS = 600;
+/** Short: nodes start within a third of a second of each other, in any order. */
+const RETRY_INTERVAL_MS = 150;
+const HELLO_TIMEOUT_MS = 600;
 
-/** Resolves with the founders' addresses once every seed has answered. */
+/** Resolves with the founders' addresses once every seed has responded. */
 export async function findFounders(
   directory: NodeDirectory,
   rpc: RpcClient,
@@ -30,14 +30,17 @@
           .filter(ip => ip !== from.ip)
           .map(async ip =>
             HELLO_REPLY.parse(
-              await rpc.call(ip, NODE_METHODS.hello, {from}, ASK_TIMEOUT_MS)
+              await rpc.call(ip, NODE_METHODS.hello, {from}, HELLO_TIMEOUT_MS)
             )
           )
       );
       return foundersAmong(directory, seeds, replies);
     } catch (err) {
-      logger.debug({event: 'seeds.waiting', err: String(err)}, 'seed missing');
-      await firstValueFrom(timer(RETRY_MS));
+      logger.debug(
+        {event: 'seeds.waiting', err: String(err)},
+        'some seeds do not respond yet'
+      );
+      await firstValueFrom(timer(RETRY_INTERVAL_MS));
     }
   }
 }
@@ -47,10 +50,10 @@
   seeds: readonly string[],
   replies: readonly HelloReply[]
 ): readonly string[] {
-  directory.note(replies.flatMap(({self, nodes}) => [self, ...nodes]));
-  const withDisk = new Set(
+  directory.markSeen(replies.flatMap(({self, nodes}) => [self, ...nodes]));
+  const ipsWithDisk = new Set(
     replies.filter(({self}) => self.hasDisk).map(({self}) => self.ip)
   );
-  if (directory.self.hasDisk) withDisk.add(directory.self.ip);
-  return seeds.filter(ip => withDisk.has(ip)).sort();
+  if (directory.self.hasDisk) ipsWithDisk.add(directory.self.ip);
+  return seeds.filter(ip => ipsWithDisk.has(ip)).sort();
 }
--- a/src/cluster/leaderDuties.ts
+++ b/src/cluster/leaderDuties.ts
@@ -1,22 +1,22 @@
 /**
- * What a node answers as the leader: reports of all nodes, proposals, and reads
- * that a quorum proves. A node that does not lead names the one that does.
+ * Handles what only the leader can: reports of all nodes, proposals, and reads
+ * that a quorum confirms. Other nodes reply with the leader that they know.
  */
 
 import type {Logger} from '../core/logger';
 import type {Site} from '../site/site';
-import type {AgreedState, OpenLog} from './agreedState';
+import type {LogReplica, OpenLog} from './agreedState';
 import type {Coordinator} from './coordinator';
 import type {OperatorCommand, SyncParams, SyncReply} from './messages';
 import type {NodeDirectory} from './nodeDirectory';
 
-/** What the duties rest on. */
-export interface LeaderParts {
-  agreed(): AgreedState | undefined;
+/** Dependencies of the leader service. */
+export interface LeaderServiceParts {
+  replica(): LogReplica | undefined;
   readonly directory: NodeDirectory;
   readonly coordinator: Coordinator;
   site(): Site | undefined;
-  /** The leader as far as this node knows it. */
+  /** The leader that this node knows, if any. */
   leader(): string | undefined;
   readonly logger: Logger;
 }
@@ -26,38 +26,41 @@
   readonly leader?: string;
 }
 
-/** Calls that only the leader can carry out. */
-export class LeaderDuties {
-  private leadingTerm = -1;
-  private confirmedTerm = -1;
+/** Calls that need the leader. */
+export class LeaderService {
+  private coordinatorTerm = -1;
+  private caughtUpTerm = -1;
 
-  constructor(private readonly parts: LeaderParts) {}
+  constructor(private readonly parts: LeaderServiceParts) {}
 
   get term(): number {
-    return this.parts.agreed()?.current?.log.status().term ?? 0;
+    return this.parts.replica()?.current?.log.status().term ?? 0;
   }
 
-  /** Whether this node leads and knows all that was agreed before. */
-  get isConfirmed(): boolean {
-    const leads = this.parts.agreed()?.leads === true;
-    return leads && this.confirmedTerm === this.term;
+  /** Whether this node leads and has applied all earlier commits. */
+  get isCaughtUp(): boolean {
+    const leads = this.parts.replica()?.leads === true;
+    return leads && this.caughtUpTerm === this.term;
   }
 
   /** Resolves once the command is durable on a quorum. */
   async propose(command: OperatorCommand): Promise<void> {
     const {log, state} = this.open();
-    // What is overtaken already changes nothing: the log is spared a copy, but
-    // the answer still needs a proof that the newer version is agreed.
-    const isOvertaken =
+    // A superseded document changes nothing, so the log is spared a copy. The
+    // reply still needs a quorum to confirm that the newer version is committed.
+    const isSuperseded =
       command.kind === 'site' && command.version <= state.site.version;
-    if (isOvertaken) await log.readBarrier();
+    if (isSuperseded) await log.readBarrier();
     else await log.propose(command);
     const {kind} = command;
-    this.parts.logger.info({event: 'change.agreed', kind}, 'change agreed');
+    this.parts.logger.info(
+      {event: 'change.agreed', kind},
+      `change of kind ${kind} is committed`
+    );
   }
 
-  /** Proposes for another node. */
-  async takeProposal(
+  /** Handles a proposal of another node. */
+  async handleProposal(
     command: OperatorCommand
   ): Promise<NotLeader | {kind: 'committed'}> {
     if (!this.leads) return this.notLeader();
@@ -65,7 +68,7 @@
     return {kind: 'committed'};
   }
 
-  /** The newest document, proven by a quorum. */
+  /** The newest site document, confirmed by a quorum. */
   async readSite(heldVersion: number) {
     const {log, state} = this.open();
     await log.readBarrier();
@@ -74,44 +77,44 @@
     return {kind: 'site' as const, version, packed: held ? undefined : packed};
   }
 
-  /** Reads for another node. */
-  async answerRead(heldVersion: number) {
+  /** Handles a read of another node. */
+  async handleReadSite(heldVersion: number) {
     return this.leads ? this.readSite(heldVersion) : this.notLeader();
   }
 
-  /** Answers a report, this node's own included. */
+  /** Handles a report of any node, including this one. */
   async sync(params: SyncParams): Promise<SyncReply> {
     const {directory, coordinator, site} = this.parts;
-    directory.note([params.from]);
+    directory.markSeen([params.from]);
     if (!this.leads) return this.notLeader();
     const opened = this.open();
     const {term} = this;
-    if (this.leadingTerm !== term) {
-      this.leadingTerm = term;
+    if (this.coordinatorTerm !== term) {
+      this.coordinatorTerm = term;
       coordinator.reset();
     }
-    if (this.confirmedTerm !== term) {
-      // What earlier leaders agreed may not be applied here yet.
+    if (this.caughtUpTerm !== term) {
+      // Commits of earlier leaders may not be applied here yet.
       await opened.log.readBarrier();
-      this.confirmedTerm = term;
+      this.caughtUpTerm = term;
     }
     const {version, packed, zonesOut} = opened.state.site;
-    const agreed = {
+    const replicated = {
       term,
       index: opened.log.status().commitIndex,
       siteVersion: version,
       packedSite: packed,
       zonesOut,
     };
-    return coordinator.sync(params, agreed, site(), directory);
+    return coordinator.sync(params, replicated, site(), directory);
   }
 
   private get leads(): boolean {
-    return this.parts.agreed()?.leads === true;
+    return this.parts.replica()?.leads === true;
   }
 
   private open(): OpenLog {
-    const opened = this.parts.agreed()?.current;
+    const opened = this.parts.replica()?.current;
     if (opened === undefined) throw new Error('no log here');
     return opened;
   }
--- a/src/cluster/leaderLink.ts
+++ b/src/cluster/leaderLink.ts
@@ -1,94 +1,94 @@
-/** Calls to whoever leads, which is found by asking the nodes that are known. */
+/** Calls to the leader, which is found by trying the known nodes. */
 
 import type * as z from 'zod';
 import type {Logger} from '../core/logger';
 import type {NodeDirectory} from './nodeDirectory';
 import type {RpcClient} from './rpcClient';
 
-/** What every answer of a node that does not lead looks like. */
+/** Reply of a node that does not lead, with the leader if it knows one. */
 interface NotLeader {
   readonly kind: 'notLeader';
   readonly leader?: string;
 }
 
-/** Nodes asked for one call before it fails: a leader that moved is found. */
-const MAX_ASKED = 5;
+/** Nodes tried per call, enough to find a leader that has changed. */
+const MAX_ATTEMPTS = 5;
 
-/** One call and how its answer reads. */
+/** One call and the schema of its reply. */
 export interface LeaderCall<T> {
   readonly method: string;
   readonly params: unknown;
   readonly reply: z.ZodType<T | NotLeader>;
-  /** For one node asked. */
+  /** Timeout for each node that is tried. */
   readonly timeoutMs: number;
 }
 
-/** Finds the leader and remembers it. */
-export class LeaderLink {
-  private known: string | undefined;
-  private nextCandidate = 0;
+/** Finds the leader and caches its address. */
+export class LeaderClient {
+  private cachedLeader: string | undefined;
+  private nextIndex = 0;
 
   constructor(
     private readonly rpc: RpcClient,
     private readonly directory: NodeDirectory,
     private readonly logger: Logger,
-    /** Leader by this node's own log, if it takes part in it. */
-    private readonly fromLog: () => string | undefined
+    /** Leader by this node's own log; undefined without one. */
+    private readonly leaderFromLog: () => string | undefined
   ) {}
 
-  /** The leader as far as known. */
+  /** The leader, if known. */
   get leader(): string | undefined {
-    return this.fromLog() ?? this.known;
+    return this.leaderFromLog() ?? this.cachedLeader;
   }
 
-  /** Asks one node after the other; rejects when none leads. */
+  /** Tries one node after the other; rejects when no leader replied. */
   async call<T extends {readonly kind: string}>(
     call: LeaderCall<T>
   ): Promise<Exclude<T, NotLeader>> {
     let hint = this.leader;
-    let failure: unknown = new Error('no other node is known');
-    for (let asked = 0; asked < MAX_ASKED; asked++) {
+    let failure: unknown = new Error('no other node is known that may lead');
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const ip = hint ?? this.nextNode();
       if (ip === undefined || ip === this.directory.self.ip) break;
       try {
         const {method, params, timeoutMs} = call;
-        const answer = await this.rpc.call(ip, method, params, timeoutMs);
-        const reply = call.reply.parse(answer);
+        const result = await this.rpc.call(ip, method, params, timeoutMs);
+        const reply = call.reply.parse(result);
         if (reply.kind !== 'notLeader') {
-          this.learn(ip);
+          this.cacheLeader(ip);
           return reply as Exclude<T, NotLeader>;
         }
         const {leader} = reply as NotLeader;
-        failure = new Error(`${ip} does not lead`);
+        failure = new Error(`node ${ip} does not lead`);
         hint = leader === ip ? undefined : leader;
       } catch (err) {
         failure = err;
         hint = undefined;
       }
-      if (this.known === ip) this.forget(failure);
+      if (this.cachedLeader === ip) this.clearLeader(failure);
     }
     throw failure;
   }
 
-  private learn(ip: string): void {
-    if (this.known !== ip)
-      this.logger.info({event: 'leader.found', ip}, 'leader found');
-    this.known = ip;
+  private cacheLeader(ip: string): void {
+    if (this.cachedLeader !== ip)
+      this.logger.info({event: 'leader.found', ip}, `found leader ${ip}`);
+    this.cachedLeader = ip;
   }
 
-  private forget(failure: unknown): void {
+  private clearLeader(failure: unknown): void {
     const err = String(failure);
     this.logger.warn(
-      {event: 'leader.lost', ip: this.known, err},
-      'leader lost'
+      {event: 'leader.lost', ip: this.cachedLeader, err},
+      `lost leader ${this.cachedLeader}`
     );
-    this.known = undefined;
+    this.cachedLeader = undefined;
   }
 
-  /** Each in turn, so that one that hangs is not asked over and over. */
+  /** Rotates through all nodes, so that one that hangs is not tried each time. */
   private nextNode(): string | undefined {
-    const candidates = this.directory.candidates();
-    if (candidates.length === 0) return undefined;
-    return candidates[this.nextCandidate++ % candidates.length];
+    const addresses = this.directory.probeAddresses();
+    if (addresses.length === 0) return undefined;
+    return addresses[this.nextIndex++ % addresses.length];
   }
 }
--- a/src/cluster/serviceGroups.ts
+++ b/src/cluster/serviceGroups.ts
@@ -1,4 +1,4 @@
-/** Targets and loads of a service, by the groups that its ranks form. */
+/** Concurrency of a service, from the targets and loads of its groups of ranks. */
 
 import {sum} from '../core/sum';
 import type {MapOutlook} from '../policy/mapOutlook';
@@ -17,19 +17,22 @@
 import type {ServiceLoad} from './messages';
 import {inFlightOf} from './nodeReports';
 
-/** Requests at a plain target beside those in work: its next ones are there. */
-const PLAIN_QUEUE = 1;
+/**
+ * Requests that wait at a plain target for each slot, so that the next one is
+ * there when a slot becomes free.
+ */
+const QUEUED_PER_PLAIN_SLOT = 1;
 
-/** What the concurrency of a service rests on. */
+/** What the concurrency of a service is computed from. */
 export interface ConcurrencyInput {
   readonly service: SiteService;
   readonly records: readonly TargetRecord[];
-  /** Of all nodes. */
+  /** Loads of the service at all nodes. */
   readonly loads: readonly ServiceLoad[];
   readonly goals: StreamGoals;
   /** Whether all nodes have reported their loads. */
-  readonly isWhole: boolean;
-  /** Undefined where nobody orders the maps of the group. */
+  readonly allNodesReported: boolean;
+  /** Undefined while nothing controls the maps of the group. */
   outlookOf(group: string): MapOutlook | undefined;
   readonly nowMs: number;
 }
@@ -38,12 +41,15 @@
 export interface ServiceConcurrency {
   readonly total: number;
   readonly targets: readonly PermitTarget[];
-  /** Empty where groups do not bound the requests of a service. */
+  /** Empty for services whose groups have no limits. */
   readonly groups: readonly (GroupLoad & GroupLimit)[];
 }
 
-/** Concurrency of a service now; to be asked once each period of reports. */
-export function concurrencyOf(
+/**
+ * Computes the current concurrency of a service. To be called once per report
+ * period, since each call updates the pass costs that `limits` has observed.
+ */
+export function computeConcurrency(
   limits: GroupLimits,
   input: ConcurrencyInput
 ): ServiceConcurrency {
@@ -51,32 +57,38 @@
   const targets = permitTargets(service, records);
   const {engine} = service;
   if (engine === undefined || goals.pauseMs === 0)
-    return {total: capacityOf(targets), targets, groups: []};
+    return {total: totalCapacity(targets), targets, groups: []};
   const loads = groupLoads(targets, input, engine);
-  const {isWhole, nowMs} = input;
-  const found = limits.next({engine, goals, groups: loads, isWhole, nowMs});
+  const {allNodesReported: isWhole, nowMs} = input;
+  const limitsByGroup = limits.next({
+    engine,
+    goals,
+    groups: loads,
+    isWhole,
+    nowMs,
+  });
   const groups = loads.flatMap(load => {
-    const limit = found.get(load.name);
+    const limit = limitsByGroup.get(load.name);
     return limit === undefined ? [] : [{...load, ...limit}];
   });
-  // What runs in a group beyond its limit takes nothing from the other groups.
-  const isShared = groups.length > 1;
+  // Requests beyond the limit of a group must not reduce that of other groups.
+  const hasSeveralGroups = groups.length > 1;
   const total = sum(
     groups.map(({concurrency, running}) =>
-      isShared ? Math.max(concurrency, running) : concurrency
+      hasSeveralGroups ? Math.max(concurrency, running) : concurrency
     )
   );
   return {total, targets, groups};
 }
 
-/** What bounds the group that is bound most; undefined where none is known. */
-export function tightestBound({
+/** Reason for the limit of the most limited group; undefined without groups. */
+export function tightestLimitReason({
   groups,
 }: ServiceConcurrency): LimitReason | undefined {
-  const byFill = [...groups].sort(
+  const byAllowedRatio = [...groups].sort(
     (a, b) => a.concurrency / a.slots - b.concurrency / b.slots
   );
-  return byFill[0]?.reason;
+  return byAllowedRatio[0]?.reason;
 }
 
 /** Targets of a service and the requests that each takes at once. */
@@ -84,10 +96,11 @@
   service: SiteService,
   records: readonly TargetRecord[]
 ): readonly PermitTarget[] {
-  const queued = service.engine === undefined ? 1 + PLAIN_QUEUE : 1;
-  return workingTargets(service.name, records).map(record => ({
+  const requestsPerSlot =
+    service.engine === undefined ? 1 + QUEUED_PER_PLAIN_SLOT : 1;
+  return usableTargets(service.name, records).map(record => ({
     id: record.id,
-    capacity: record.slots * queued,
+    capacity: record.slots * requestsPerSlot,
     availabilityZone: record.availabilityZone,
     group: groupNameOf(record),
   }));
@@ -104,16 +117,17 @@
     byGroup.set(target.group, members);
     members.push(target);
   }
-  // Requests at targets that fell out count with what works: they come back.
-  const isAlone = byGroup.size === 1;
+  // With one group, requests at targets that dropped out count too: they are
+  // retried in the same group.
+  const isOnlyGroup = byGroup.size === 1;
   const running = runningByGroup(targets, loads);
   return [...byGroup].map(([name, members]) => ({
     name,
     ranks: members.length,
-    slots: capacityOf(members),
-    running: isAlone ? inFlightOf(loads) : (running.get(name) ?? 0),
-    paceMs: medianPace(loads, name),
-    outlook: outlookOf(name) ?? unknownOutlook(engine),
+    slots: totalCapacity(members),
+    running: isOnlyGroup ? inFlightOf(loads) : (running.get(name) ?? 0),
+    paceMs: medianPassMs(loads, name),
+    outlook: outlookOf(name) ?? defaultOutlook(engine),
   }));
 }
 
@@ -133,36 +147,39 @@
   return running;
 }
 
-/** One node that reads slowly must not stand for the group; 0 when none runs. */
-export function medianPace(
+/**
+ * Pass duration of a group: the median over nodes, so that one that reads slowly
+ * does not distort it; 0 when no stream runs.
+ */
+export function medianPassMs(
   loads: readonly ServiceLoad[],
   group: string
 ): number {
-  const paces = loads
+  const durationsMs = loads
     .map(({pacesMs}) => pacesMs[group] ?? 0)
     .filter(ms => ms > 0)
     .sort((a, b) => a - b);
-  return paces[Math.floor(paces.length / 2)] ?? 0;
+  return durationsMs[Math.floor(durationsMs.length / 2)] ?? 0;
 }
 
-function capacityOf(targets: readonly PermitTarget[]): number {
+function totalCapacity(targets: readonly PermitTarget[]): number {
   return sum(targets.map(({capacity}) => capacity));
 }
 
-/** After an outage a group forms anew before anybody orders its maps. */
-function unknownOutlook({expertSets}: EngineProfile): MapOutlook {
+/** For a group whose maps nothing controls yet, as when it has just re-formed. */
+function defaultOutlook({expertSets}: EngineProfile): MapOutlook {
   return expertSets > 0 ? FIRST_MAP_OUTLOOK : EVEN_OUTLOOK;
 }
 
-function workingTargets(
+function usableTargets(
   service: string,
   records: readonly TargetRecord[]
 ): readonly TargetRecord[] {
-  const openings = groupOpenings(records);
+  const statuses = groupOpenings(records);
   return records.filter(
     record =>
       record.service === service &&
       record.state === 'ready' &&
-      isInOpenGroup(record, openings)
+      isInOpenGroup(record, statuses)
   );
 }
--- a/src/site/groupOpenings.ts
+++ b/src/site/groupOpenings.ts
@@ -1,42 +1,42 @@
 /**
- * Whether groups of ranks work, from what their ranks told last. A rank tells
- * of itself about once a second. A group is open or broken as a whole, so that
- * the first rank that tells of a change tells it for all: the others' word is
- * up to a heartbeat old.
+ * Whether groups of ranks are open, from the last announcements of their ranks.
+ * A rank announces itself about once a second. A group is open or broken as a
+ * whole, so the first rank that reports a change reports it for all; the other
+ * announcements are up to a heartbeat old.
  */
 
 import type {TargetRecord} from './announcement';
 
-/** One group as its ranks tell it. */
-export interface GroupOpening {
-  /** Newest epoch that a rank told of. */
+/** Status of one group, as its ranks report it. */
+export interface GroupStatus {
+  /** Latest epoch that a rank reported. */
   readonly epoch: number;
   readonly isOpen: boolean;
 }
 
-/** Groups by name. */
-export type GroupOpenings = ReadonlyMap<string, GroupOpening>;
+/** Status of groups by name. */
+export type GroupStatuses = ReadonlyMap<string, GroupStatus>;
 
-/** Goes by the newest epoch; within one, a group only ever breaks. */
-export function groupOpenings(records: readonly TargetRecord[]): GroupOpenings {
-  const openings = new Map<string, GroupOpening>();
+/** Uses the latest epoch; within one, a group may break but never reopens. */
+export function groupOpenings(records: readonly TargetRecord[]): GroupStatuses {
+  const statuses = new Map<string, GroupStatus>();
   for (const {group, state} of records) {
     if (group === undefined || state === 'gone') continue;
-    const known = openings.get(group.name);
+    const known = statuses.get(group.name);
     const {epoch} = group;
     if (known !== undefined && known.epoch > epoch) continue;
     const wasOpen = known?.epoch === epoch ? known.isOpen : true;
-    openings.set(group.name, {epoch, isOpen: wasOpen && group.open});
+    statuses.set(group.name, {epoch, isOpen: wasOpen && group.open});
   }
-  return openings;
+  return statuses;
 }
 
 /** Whether the target works alone, or its group is open. */
 export function isInOpenGroup(
   {group}: TargetRecord,
-  openings: GroupOpenings
+  statuses: GroupStatuses
 ): boolean {
-  return group === undefined || openings.get(group.name)?.isOpen === true;
+  return group === undefined || statuses.get(group.name)?.isOpen === true;
 }
 
 /** Name of the target's group; empty when it works alone. */
