--- a/src/ranks/clearing.ts
+++ b/src/ranks/clearing.ts
@@ -1,56 +1,60 @@
 /**
- * Takes back a switch whose arming failed, rank by rank. A rank that may still
- * get a late arm order is given a newer copy of the map in use: the version
- * that the late order names is not there any more, and it is refused.
+ * Rolls back a switch whose arming failed, rank by rank. A rank that may still
+ * receive a late arm order gets a newer copy of the map in use. The copy
+ * replaces the version that the late order names, so the rank refuses it.
  */
 
 import type {MapLists, OrderAnswer, RankOrder} from '../ports/rankPort';
 import type {RankViews} from './rankViews';
-import type {RankView, SentOrder} from './switchPhase';
+import type {OutgoingOrder, RankView} from './switchPhase';
 
-/** Reports show what was 200 ms ago; an answer comes within 5 ms. */
-const SETTLE_MS = 450;
+/**
+ * Time after the response to an order from which a requested report certainly
+ * shows its effect: reports show the state of 200 ms ago, and responses arrive
+ * within 5 ms.
+ */
+const REPORT_SETTLE_MS = 450;
 
-/** Whether the rank is not armed, and never will be for the old version. */
-export function isCleared(view: RankView, clearVersion: number): boolean {
-  const {report, isDisarmed, isDone} = view;
+/** Whether the rank is not armed, and can no longer be for the old version. */
+export function isCleared(view: RankView, replacementVersion: number): boolean {
+  const {report, isDisarmed, isConfirmed} = view;
   if (!isDisarmed || report === undefined) return false;
-  if (!isSettled(view) || report.armed !== undefined) return false;
+  if (!isReportSettled(view) || report.armed !== undefined) return false;
   if (!view.mayBeArmedLate) return true;
-  return isDone && report.preparedVersion === clearVersion;
+  return isConfirmed && report.preparedVersion === replacementVersion;
 }
 
-/** What all ranks are to be told next. */
+/** Orders that the rollback needs next. */
 export function clearingOrders(
   ranks: RankViews,
   nowMs: number,
-  clearVersion: number,
+  replacementVersion: number,
   lists: MapLists
-): readonly SentOrder[] {
-  // Copies go out together, once no rank is left that may still be armed.
-  const areDisarmed = ranks.views.every(({isDisarmed}) => isDisarmed);
+): readonly OutgoingOrder[] {
+  // Copies are sent to all ranks at once, after every rank has been disarmed.
+  const areAllDisarmed = ranks.views.every(({isDisarmed}) => isDisarmed);
   return ranks.views.flatMap((view, rank) => {
-    if (view.isDisarmed && !areDisarmed) return [];
-    const order = clearingOrder(view, clearVersion, lists);
+    if (view.isDisarmed && !areAllDisarmed) return [];
+    const order = clearingOrder(view, replacementVersion, lists);
     return order === undefined ? [] : ranks.order(nowMs, rank, order);
   });
 }
 
 function clearingOrder(
   view: RankView,
-  clearVersion: number,
+  replacementVersion: number,
   lists: MapLists
 ): RankOrder | undefined {
   const armed = view.report?.armed;
-  const isLateArm = armed !== undefined && isSettled(view);
+  const isLateArm = armed !== undefined && isReportSettled(view);
   if (!view.isDisarmed || isLateArm)
-    return {kind: 'disarm', version: armed?.version ?? clearVersion - 1};
-  if (!view.mayBeArmedLate || view.isDone) return undefined;
-  return {kind: 'prepare', version: clearVersion, lists};
+    return {kind: 'disarm', version: armed?.version ?? replacementVersion - 1};
+  if (!view.mayBeArmedLate || view.isConfirmed) return undefined;
+  return {kind: 'prepare', version: replacementVersion, lists};
 }
 
-/** Takes in the answer to such an order. */
-export function noteClearing(
+/** Notes the response to a clearing order. */
+export function noteClearingAnswer(
   view: RankView,
   order: RankOrder,
   answer: OrderAnswer
@@ -58,14 +62,16 @@
   if (order.kind === 'disarm' && answer !== 'unknown') view.isDisarmed = true;
   if (order.kind !== 'prepare') return;
   if (answer === 'unknown') view.mayBePrepared = true;
-  if (answer === 'done') view.isDone = true;
+  if (answer === 'done') view.isConfirmed = true;
   if (answer !== 'refused') return;
-  // Refused the second time since it is there, or since a late arm came.
-  if (view.mayBePrepared) view.isDone = true;
+  // After an unknown outcome, a refusal proves that the copy was begun.
+  // Otherwise a late arm order was carried out, and the rank has to be disarmed
+  // again.
+  if (view.mayBePrepared) view.isConfirmed = true;
   else view.isDisarmed = false;
 }
 
-/** Whether the latest report was taken after the last order took effect. */
-function isSettled(view: RankView): boolean {
-  return view.reportAtMs >= view.answeredAtMs + SETTLE_MS;
+/** Whether the latest report shows the effect of the last order. */
+function isReportSettled(view: RankView): boolean {
+  return view.reportRequestedAtMs >= view.respondedAtMs + REPORT_SETTLE_MS;
 }
--- a/src/ranks/demandSampler.ts
+++ b/src/ranks/demandSampler.ts
@@ -1,36 +1,37 @@
-/** Reads the counts of a sample of ranks. */
+/** Reads the expert counts of a sample of the ranks of a group. */
 
 import type {Logger} from '../core/logger';
 import type {OrderScope, RankCodec} from '../ports/rankPort';
 import type {Located} from '../policy/relayPlan';
 import type {EngineProfile} from '../site/site';
 import type {RankCounts} from './expertDemand';
-import type {RankCaller} from './rankCaller';
+import type {RankTransport} from './rankCaller';
 import {isOk} from './rankClient';
 
 /**
- * Ranks of a sample. One rank's few requests differ from all; more ranks tell
- * more, and hold the group up longer.
+ * Sample size. The few requests of one rank are not representative of the
+ * group. More ranks are, but reading their counts holds up the group for
+ * longer.
  */
-const MIN_RANKS = 3;
-const MAX_RANK_RATIO = 1 / 8;
-const MAX_HOLD_MS = 20;
+const MIN_SAMPLE_RANKS = 3;
+const MAX_SAMPLE_RATIO = 1 / 8;
+const MAX_READ_HOLD_MS = 20;
 
-/** What a sampler reads, and how. */
+/** Dependencies of a sampler. */
 export interface SamplerParts {
   readonly name: string;
   readonly engine: EngineProfile;
   readonly scope: OrderScope;
   readonly ranks: readonly (Located & {readonly id: string})[];
   readonly codec: RankCodec;
-  readonly caller: RankCaller;
+  readonly transport: RankTransport;
   readonly logger: Logger;
 }
 
-/** The sample of one group. */
+/** Chooses and reads the sample of one group. */
 export class DemandSampler {
-  /** Where the sample begins. */
-  private first = 0;
+  /** Index of the first rank of the sample. */
+  private firstRank = 0;
   private readonly size: number;
 
   constructor(private readonly parts: SamplerParts) {
@@ -43,18 +44,18 @@
     return this.size * this.parts.engine.countsHoldMs;
   }
 
-  /** Goes on to other ranks. */
-  moveOn(): void {
-    this.first++;
+  /** Moves the sample to other ranks. */
+  moveToNextRanks(): void {
+    this.firstRank++;
   }
 
-  /** Counts of the ranks of the sample that answered. */
+  /** Counts of the sampled ranks that responded. */
   async read(): Promise<readonly RankCounts[]> {
     const {ranks} = this.parts;
     const stride = Math.floor(ranks.length / this.size) + 1;
     const indexes = Array.from(
       {length: this.size},
-      (_, i) => (this.first + i * stride) % ranks.length
+      (_, i) => (this.firstRank + i * stride) % ranks.length
     );
     const readings = await Promise.all(
       [...new Set(indexes)].map(index => this.readRank(index))
@@ -63,23 +64,25 @@
   }
 
   private async readRank(index: number): Promise<RankCounts | undefined> {
-    const {ranks, codec, caller, logger, scope, name} = this.parts;
+    const {ranks, codec, transport, logger, scope, name} = this.parts;
     const rank = ranks[index];
     if (rank === undefined) return undefined;
-    const answer = await caller.call(rank, 'counts', codec.countsCall());
+    const answer = await transport.call(rank, 'counts', codec.countsCall());
     const counts = isOk(answer) ? codec.readCounts(answer.text) : undefined;
     if (counts !== undefined && counts.epoch === scope.epoch)
       return {rankId: rank.id, counts};
     logger.info(
       {event: 'map.unread', group: name, rank: rank.id},
-      'counts not read'
+      `expert counts of rank ${rank.id} could not be read`
     );
     return undefined;
   }
 }
 
-function sampleSize(ranks: number, holdMs: number): number {
-  const affordable = Math.floor(MAX_HOLD_MS / Math.max(holdMs, 1e-3));
-  const most = Math.min(affordable, Math.round(ranks * MAX_RANK_RATIO));
-  return Math.min(ranks, Math.max(MIN_RANKS, most));
+function sampleSize(ranks: number, holdMsPerRank: number): number {
+  const maxByHold = Math.floor(
+    MAX_READ_HOLD_MS / Math.max(holdMsPerRank, 1e-3)
+  );
+  const maxRanks = Math.min(maxByHold, Math.round(ranks * MAX_SAMPLE_RATIO));
+  return Math.min(ranks, Math.max(MIN_SAMPLE_RANKS, maxRanks));
 }
--- a/src/ranks/expertDemand.ts
+++ b/src/ranks/expertDemand.ts
@@ -1,33 +1,41 @@
 /**
- * Which experts are in demand, from the counts of a sample of ranks.
+ * Estimates the demand for each expert from the counts of a sample of ranks.
  *
- * Pattern: demand shifts at once, not bit by bit. Choices since the last shift
- * are added up; older ones would only blur what is seen. The few requests of a
- * rank ask for few subjects, each with experts of its own, so that two samples of
- * one demand differ as well. A sample shows a shift when it differs by more than
- * the ranks of a sample differ from each other.
+ * Pattern: demand shifts suddenly, not gradually. Choices since the last shift
+ * are added up; older ones would distort the estimate. The few requests of a
+ * rank cover few subjects, each with experts of its own, so two samples differ
+ * even if demand stays the same. A sample shows a shift when it differs from
+ * the known demand by more than the ranks of a sample differ from each other.
  */
 
 import {sum} from '../core/sum';
 import type {ExpertCounts} from '../ports/rankPort';
 
-/** Choices that tell the parts of the experts that matter, for each expert. */
-const ENOUGH_PER_EXPERT = 28;
-/** Squared difference of two samples over its expected value without a shift. */
-const SHIFT_RATIO = 3;
-/** Windows that the known demand stands for; older ones fade. */
+/**
+ * Choices that a window needs for each expert, on average, to show the shares
+ * of the experts that matter.
+ */
+const MIN_CHOICES_PER_EXPERT = 28;
+/**
+ * Ratio from which a sample shows a shift: its squared distance from the known
+ * demand over the expected value without a shift.
+ */
+const SHIFT_THRESHOLD = 3;
+/** Weight limit of the known demand, in windows; older windows decay. */
 const MAX_WINDOWS = 6;
-/** EWMA weight of one sample in the spread between ranks. */
-const SPREAD_WEIGHT = 0.3;
+/** EWMA weight of one sample in the variance between ranks. */
+const RANK_VARIANCE_EWMA_WEIGHT = 0.3;
 
-/** What a reading showed. */
+/** Result of a reading. */
 export type DemandChange =
-  /** Too few choices since the last reading. */
+  /** Too few choices since the window began. */
   | 'nothing'
   | 'same'
-  /** Another demand than the one before; now known by itself. */
+  /** Demand differs from before; the window held only the new demand. */
   | 'shifted'
-  /** It shifted since the last reading; the next one will show the new demand. */
+  /**
+   * Demand shifted within the window; the next reading shows the new demand.
+   */
   | 'shifting';
 
 /** Counts of one rank. */
@@ -38,134 +46,162 @@
 
 /** Demand since its last shift. */
 export class ExpertDemand {
-  /** Where the present window of each rank began. */
-  private readonly begins = new Map<string, ExpertCounts>();
-  private since: readonly number[] = [];
-  /** Expected squared error of what is known, in parts of all choices. */
-  private sinceError = 0;
-  /** Expected squared difference of one rank from all; undefined before a sample. */
-  private rankSpread: number | undefined;
+  /** Counts of each rank when its current window began. */
+  private readonly windowStarts = new Map<string, ExpertCounts>();
+  private knownCounts: readonly number[] = [];
+  /** Expected squared error of `knownCounts`, as shares of all choices. */
+  private knownError = 0;
+  /**
+   * Expected squared distance of one rank's demand from that of all ranks;
+   * undefined before the first sample of several ranks.
+   */
+  private rankVariance: number | undefined;
   private lastFilled = 0;
-  private lastRatio = 0;
+  private lastShiftRatio = 0;
 
   constructor(
     private readonly sets: number,
     private readonly experts: number
   ) {}
 
-  /** Choices of the last reading, in parts of what tells enough. */
+  /** Choices of the last reading over the number needed; enough from 1 on. */
   get filled(): number {
     return this.lastFilled;
   }
 
-  /** Difference of the last sample over its expected value; 1 without a shift. */
+  /**
+   * Squared distance of the last sample from the known demand, over its
+   * expected value; about 1 without a shift.
+   */
   get shiftRatio(): number {
-    return this.lastRatio;
+    return this.lastShiftRatio;
   }
 
-  /** Begins the windows of these ranks anew, and leaves out what came before. */
-  begin(readings: readonly RankCounts[]): void {
-    for (const {rankId, counts} of readings) this.begins.set(rankId, counts);
+  /** Begins new windows for these ranks; earlier choices are not counted. */
+  beginWindows(readings: readonly RankCounts[]): void {
+    for (const {rankId, counts} of readings)
+      this.windowStarts.set(rankId, counts);
   }
 
   /**
-   * Takes in a reading; the first of a rank only begins its window. A window
-   * is recent if it began when a shift was suspected: it holds nothing old.
+   * Adds a reading of each rank; the first one of a rank only begins its
+   * window. A window is recent if it began after a shift was suspected, so that
+   * it holds no choices of the demand before.
    */
-  note(readings: readonly RankCounts[], isRecent: boolean): DemandChange {
-    const known = readings.filter(reading => this.continues(reading));
-    const windows = known.map(reading => this.windowOf(reading));
-    const fresh = sumOfAll(windows, this.sets * this.experts);
-    const enough = ENOUGH_PER_EXPERT * this.sets * this.experts;
-    this.lastFilled = sum(fresh) / enough;
-    const isEnough = this.lastFilled >= 1;
-    const begun = readings.filter(reading => !known.includes(reading));
-    this.begin(isEnough ? readings : begun);
-    if (!isEnough) return 'nothing';
-    return this.compare(fresh, this.errorOf(windows, fresh), isRecent);
+  addReadings(
+    readings: readonly RankCounts[],
+    isRecent: boolean
+  ): DemandChange {
+    const withWindow = readings.filter(reading =>
+      this.continuesWindow(reading)
+    );
+    const windows = withWindow.map(reading => this.windowCountsOf(reading));
+    const windowCounts = sumWindows(windows, this.sets * this.experts);
+    const minChoices = MIN_CHOICES_PER_EXPERT * this.sets * this.experts;
+    this.lastFilled = sum(windowCounts) / minChoices;
+    const hasEnoughChoices = this.lastFilled >= 1;
+    const withoutWindow = readings.filter(
+      reading => !withWindow.includes(reading)
+    );
+    this.beginWindows(hasEnoughChoices ? readings : withoutWindow);
+    if (!hasEnoughChoices) return 'nothing';
+    return this.compare(
+      windowCounts,
+      this.expectedError(windows, windowCounts),
+      isRecent
+    );
   }
 
-  /** Whether it counts that many sets and experts. */
+  /** Whether the demand has this number of sets and of experts per set. */
   fits(sets: number, experts: number): boolean {
     return this.sets === sets && this.experts === experts;
   }
 
-  /** Demand of one set; all alike before anything was seen. */
+  /** Demand for the experts of one set; uniform before the first sample. */
   ofSet(set: number): readonly number[] {
     const from = set * this.experts;
-    const part = this.since.slice(from, from + this.experts);
-    while (part.length < this.experts) part.push(0);
-    return withPrior(part);
+    const setCounts = this.knownCounts.slice(from, from + this.experts);
+    while (setCounts.length < this.experts) setCounts.push(0);
+    return withPrior(setCounts);
   }
 
   private compare(
-    fresh: readonly number[],
+    windowCounts: readonly number[],
     error: number,
     isRecent: boolean
   ): DemandChange {
-    const isFirst = this.since.length === 0;
-    this.lastRatio = isFirst
+    const isFirst = this.knownCounts.length === 0;
+    this.lastShiftRatio = isFirst
       ? 0
-      : distanceOf(fresh, this.since) / (error + this.sinceError);
-    if (!isFirst && this.lastRatio < SHIFT_RATIO) {
-      this.add(fresh, error);
+      : squaredDistance(windowCounts, this.knownCounts) /
+        (error + this.knownError);
+    if (!isFirst && this.lastShiftRatio < SHIFT_THRESHOLD) {
+      this.addWindow(windowCounts, error);
       return 'same';
     }
     if (!isFirst && !isRecent) return 'shifting';
-    this.since = fresh;
-    this.sinceError = error;
+    this.knownCounts = windowCounts;
+    this.knownError = error;
     return 'shifted';
   }
 
-  /** Adds a window of the same demand; old ones fade. */
-  private add(fresh: readonly number[], error: number): void {
-    const known = sum(this.since);
-    const freshSum = sum(fresh);
-    const kept = Math.min(1, ((MAX_WINDOWS - 1) * freshSum) / known);
-    const part = freshSum / (known * kept + freshSum);
-    this.since = this.since.map((count, i) => count * kept + (fresh[i] ?? 0));
-    this.sinceError = (1 - part) ** 2 * this.sinceError + part ** 2 * error;
+  /** Adds a window of unchanged demand; older windows decay. */
+  private addWindow(windowCounts: readonly number[], error: number): void {
+    const knownSum = sum(this.knownCounts);
+    const windowSum = sum(windowCounts);
+    const keptRatio = Math.min(1, ((MAX_WINDOWS - 1) * windowSum) / knownSum);
+    const windowWeight = windowSum / (knownSum * keptRatio + windowSum);
+    this.knownCounts = this.knownCounts.map(
+      (count, i) => count * keptRatio + (windowCounts[i] ?? 0)
+    );
+    this.knownError =
+      (1 - windowWeight) ** 2 * this.knownError + windowWeight ** 2 * error;
   }
 
   /**
-   * Expected squared error of a sample, from how far its ranks are apart; for a
-   * single rank, from how far ranks were apart before.
+   * Expected squared error of a sample, from the variance between its ranks. A
+   * sample of a single rank uses the variance of earlier samples.
    */
-  private errorOf(
+  private expectedError(
     windows: readonly (readonly number[])[],
-    fresh: readonly number[]
+    windowCounts: readonly number[]
   ): number {
-    const total = sum(fresh);
+    const total = sum(windowCounts);
     const sums = windows.map(sum).filter(size => size > 0);
-    const byChance = 1 / total;
-    const squares = sums.reduce((all, size) => all + (size / total) ** 2, 0);
+    const samplingError = 1 / total;
+    const squaredShares = sums.reduce(
+      (all, size) => all + (size / total) ** 2,
+      0
+    );
     if (sums.length < 2)
-      return Math.max(byChance, (this.rankSpread ?? 0) * squares);
-    const apart = windows.reduce((all, window) => {
+      return Math.max(samplingError, (this.rankVariance ?? 0) * squaredShares);
+    const betweenRanks = windows.reduce((all, window) => {
       const size = sum(window);
       if (size === 0) return all;
-      return all + (size / total) ** 2 * distanceOf(window, fresh);
+      return all + (size / total) ** 2 * squaredDistance(window, windowCounts);
     }, 0);
-    const error = (apart * sums.length) / (sums.length - 1);
-    const before = this.rankSpread ?? error / squares;
-    this.rankSpread = before + (error / squares - before) * SPREAD_WEIGHT;
-    return Math.max(byChance, this.rankSpread * squares);
+    const error = (betweenRanks * sums.length) / (sums.length - 1);
+    const previousVariance = this.rankVariance ?? error / squaredShares;
+    this.rankVariance =
+      previousVariance +
+      (error / squaredShares - previousVariance) * RANK_VARIANCE_EWMA_WEIGHT;
+    return Math.max(samplingError, this.rankVariance * squaredShares);
   }
 
-  private continues({rankId, counts}: RankCounts): boolean {
-    const begin = this.begins.get(rankId);
-    return begin !== undefined && !isOtherLife(begin, counts);
+  private continuesWindow({rankId, counts}: RankCounts): boolean {
+    const start = this.windowStarts.get(rankId);
+    return start !== undefined && !hasRestarted(start, counts);
   }
 
-  /** Choices of a rank since its window began. */
-  private windowOf({rankId, counts}: RankCounts): readonly number[] {
-    const before = this.begins.get(rankId)?.counts ?? [];
-    return counts.counts.map((count, i) => count - (before[i] ?? 0));
+  /** Choices of a rank since its window began, by expert. */
+  private windowCountsOf({rankId, counts}: RankCounts): readonly number[] {
+    const startCounts = this.windowStarts.get(rankId)?.counts ?? [];
+    return counts.counts.map((count, i) => count - (startCounts[i] ?? 0));
   }
 }
 
-/** Squared distance of two demands, each in parts of all its choices. */
-function distanceOf(a: readonly number[], b: readonly number[]): number {
+/** Squared distance of two demands, each as shares of all its choices. */
+function squaredDistance(a: readonly number[], b: readonly number[]): number {
   const sumA = Math.max(1, sum(a));
   const sumB = Math.max(1, sum(b));
   return a.reduce(
@@ -174,7 +210,7 @@
   );
 }
 
-function sumOfAll(
+function sumWindows(
   windows: readonly (readonly number[])[],
   length: number
 ): readonly number[] {
@@ -183,19 +219,20 @@
   );
 }
 
-/** The rank started anew, and its counts with it. */
-function isOtherLife(before: ExpertCounts, now: ExpertCounts): boolean {
+/** Whether the rank has restarted, which resets its counts. */
+function hasRestarted(before: ExpertCounts, now: ExpertCounts): boolean {
   if (before.epoch !== now.epoch) return true;
   return now.counts.some((count, i) => count < (before.counts[i] ?? 0));
 }
 
 /**
- * An expert that was not chosen lately will be chosen some time: it counts as
- * a twentieth of the mean, so that no rank is filled up with such ones.
+ * Demand added to each expert, as a ratio of the mean (a twentieth). An expert
+ * that was not chosen recently will be chosen again; without this, a plan could
+ * fill a rank with such experts.
  */
-const PRIOR_PART = 0.05;
+const PRIOR_RATIO = 0.05;
 
 function withPrior(demand: readonly number[]): readonly number[] {
   const mean = sum(demand) / demand.length;
-  return demand.map(value => value + Math.max(mean, 1) * PRIOR_PART);
+  return demand.map(value => value + Math.max(mean, 1) * PRIOR_RATIO);
 }
--- a/src/ranks/groupController.ts
+++ b/src/ranks/groupController.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the expert maps of one group in one life: reads what is in demand,
- * plans, and carries switches out. Only the leader runs one.
+ * Manages the expert maps of one group during one epoch: samples the demand for
+ * experts, plans maps, and carries out map switches. Only the leader runs one.
  */
 
 import type {Logger} from '../core/logger';
@@ -13,30 +13,35 @@
 import {fixedPassMs, requestPassMs} from '../policy/passLength';
 import {DemandSampler} from './demandSampler';
 import {planMap} from './mapPlan';
-import type {DueReading, Pace} from './shiftDetector';
+import type {DueReading, PassDurations} from './shiftDetector';
 import {ShiftDetector} from './shiftDetector';
 import type {DemandChange, RankCounts} from './expertDemand';
 import {ExpertDemand} from './expertDemand';
 import {OrderSender} from './orderSender';
 import type {RankAnswer} from './rankClient';
 import {isOk} from './rankClient';
-import type {RankCaller} from './rankCaller';
-import type {SentOrder} from './switchPhase';
-import {RankSwitch} from './rankSwitch';
+import type {RankTransport} from './rankCaller';
+import type {OutgoingOrder} from './switchPhase';
+import {GroupMapSwitch} from './rankSwitch';
 
-/** Reports are read this often while a switch goes on. */
-const REPORT_PERIOD_MS = 100;
-/** And this often otherwise, to find holds that came late. */
-const IDLE_REPORT_PERIOD_MS = 2_000;
+/** Interval of reading reports during a switch. */
+const SWITCH_REPORT_INTERVAL_MS = 100;
 /**
- * Fall of the mean skew of the sets that a switch must bring where passes last
- * as long as callers accept; twice that where they last half as long.
+ * Interval of reading reports without a switch, to find holds that came late.
  */
-const MIN_GAIN = 0.2;
-/** Pauses that streams show are still those of a switch for so long. */
-const HELD_SHOWS_MS = 250;
-/** Between two tries to read the map in use. */
-const LOAD_PERIOD_MS = 200;
+const IDLE_REPORT_INTERVAL_MS = 2_000;
+/**
+ * Least reduction of the skew (mean of the sets) that justifies a switch when
+ * passes last as long as the pause that callers accept. Twice that is required
+ * when passes last half as long.
+ */
+const MIN_SKEW_REDUCTION = 0.2;
+/**
+ * Time after a hold in which pauses of streams are attributed to the switch.
+ */
+const HOLD_VISIBLE_MS = 250;
+/** Least interval between two attempts to read the map in use. */
+const MAP_READ_INTERVAL_MS = 200;
 
 /** One rank of the group. */
 export interface GroupRank {
@@ -46,53 +51,59 @@
   readonly availabilityZone: string;
 }
 
-/** What the controller of a group needs. */
+/** Dependencies of a group controller. */
 export interface GroupParts {
   readonly name: string;
   readonly engine: EngineProfile;
   readonly scope: OrderScope;
   readonly ranks: readonly GroupRank[];
   readonly codec: RankCodec;
-  readonly caller: RankCaller;
+  readonly transport: RankTransport;
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
-  /** Length of a pass as streams show it; 0 when none runs. */
-  paceMs(): number;
-  /** Requests of all nodes that run in the group now. */
+  /** Pass duration as observed in streams; 0 when no stream runs. */
+  streamPassMs(): number;
+  /** Requests of all nodes that are running in the group. */
   running(): number;
   /** Longest pause between events that callers accept; 0 when none is set. */
   readonly acceptedPauseMs: number;
-  /** As the group's last life showed it. */
+  /** Demand that the group's previous controller knew. */
   readonly demand?: ExpertDemand;
   readonly shifts: ShiftHistory;
 }
 
-/** Versions of one leader are apart from those of all others. */
-const VERSIONS_PER_FENCE = 100_000;
+/**
+ * Size of the range of map versions that belongs to each fencing token (the
+ * leader's term), so that no two leaders use the same version.
+ */
+const VERSIONS_PER_TERM = 100_000;
 
-/** One group in one epoch, under one leader. */
+/** Controls one group during one epoch, under one leader. */
 export class GroupController {
   readonly demand: ExpertDemand;
-  /** Absent until the map in use was read. */
-  private machine: RankSwitch | undefined;
-  /** Ranks refuse a version that they had before, also one given up. */
-  private firstVersion = 0;
-  private isLoading = false;
-  private loadedAtMs = -Infinity;
-  private readonly watch: ShiftDetector;
+  /** Absent until the map in use has been read from all ranks. */
+  private mapSwitch: GroupMapSwitch | undefined;
+  /**
+   * Lowest version for new maps. Ranks refuse a version that they had before,
+   * even if its switch was aborted.
+   */
+  private minVersion = 0;
+  private isReadingMap = false;
+  private mapReadAtMs = -Infinity;
+  private readonly detector: ShiftDetector;
   private readonly sampler: DemandSampler;
-  /** Whether what is in demand is known and not planned for yet. */
+  /** Whether the known demand has not been planned for yet. */
   private isPlanDue = false;
   private wasSwitching = false;
-  private lastReportsMs = -Infinity;
-  private nextVersionSeen = '';
+  private reportsReadAtMs = -Infinity;
+  private loggedPhase = '';
   private isPlanning = false;
-  /** Whether the next plan answers a shift. */
-  private isShifted = false;
-  private skewInForce = 1;
-  /** Skew under the map that is being switched to. */
+  /** Whether the next plan is due to a demand shift. */
+  private isPlanForShift = false;
+  private activeSkew = 1;
+  /** Skew expected under the map that is being switched to. */
   private plannedSkew = 1;
-  /** Whether a plan answered what is in demand in this life of the group. */
+  /** Whether a plan was computed from the demand in this epoch. */
   private hasPlanned = false;
   private heldAtMs = -Infinity;
   private readonly sender: OrderSender;
@@ -102,9 +113,9 @@
     const {expertSets, experts} = engine;
     this.sampler = new DemandSampler(parts);
     this.sender = new OrderSender(parts, event =>
-      this.send(this.machine?.step(event, performance.now()) ?? [])
+      this.send(this.mapSwitch?.step(event, performance.now()) ?? [])
     );
-    this.watch = new ShiftDetector(this.sampler.holdMs);
+    this.detector = new ShiftDetector(this.sampler.holdMs);
     const known = parts.demand?.fits(expertSets, experts)
       ? parts.demand
       : undefined;
@@ -112,60 +123,65 @@
     this.isPlanDue = known !== undefined;
   }
 
-  /** Whether a newer leader has fenced it off. */
+  /** Whether a rank refused an order because it knows a newer leader. */
   get isFenced(): boolean {
-    return this.machine?.isFenced === true;
+    return this.mapSwitch?.isFenced === true;
   }
 
-  /** What is known of the length of passes to come. */
+  /** Forecast of the load skew, which determines the duration of passes. */
   outlook(nowMs: number): MapOutlook {
     const {shifts} = this.parts;
     return {
-      skew: this.skewInForce,
+      skew: this.activeSkew,
       shiftSkew: shifts.worst(nowMs),
       dueSkew: this.hasPlanned ? shifts.due(nowMs) : shifts.worst(nowMs),
-      isHeld: nowMs - this.heldAtMs < HELD_SHOWS_MS,
+      isHeld: nowMs - this.heldAtMs < HOLD_VISIBLE_MS,
     };
   }
 
-  /** Regular work, every few tens of milliseconds. */
+  /** Periodic work, called every few tens of milliseconds. */
   tick(nowMs: number): void {
-    const {machine} = this;
-    if (machine === undefined) {
+    const {mapSwitch} = this;
+    if (mapSwitch === undefined) {
       void this.load(nowMs);
       return;
     }
-    machine.notePace(this.parts.paceMs());
-    this.send(machine.step({kind: 'tick'}, nowMs));
-    const {kind} = machine.state;
-    // One switch takes few copies; the next one does the rest at once.
+    mapSwitch.noteStreamPassMs(this.parts.streamPassMs());
+    this.send(mapSwitch.step({kind: 'tick'}, nowMs));
+    const {kind} = mapSwitch.state;
+    // A switch makes only a few copies; plan the remaining ones right after it.
     if (kind === 'idle' && this.wasSwitching) this.isPlanDue = true;
     this.wasSwitching = kind !== 'idle';
     if (kind !== 'idle' && kind !== 'preparing') this.heldAtMs = nowMs;
-    if (machine.isReady(nowMs) && !machine.knowsLists) {
-      this.firstVersion = machine.unusedVersion;
-      this.machine = undefined;
+    if (mapSwitch.isReady(nowMs) && !mapSwitch.knowsLists) {
+      this.minVersion = mapSwitch.unusedVersion;
+      this.mapSwitch = undefined;
       return;
     }
-    const isBusy = kind !== 'idle' || !machine.isReady(nowMs);
-    const periodMs = isBusy ? REPORT_PERIOD_MS : IDLE_REPORT_PERIOD_MS;
-    if (nowMs - this.lastReportsMs >= periodMs) {
-      this.lastReportsMs = nowMs;
-      this.readReports(machine.ranksToReport(nowMs));
+    const isSwitching = kind !== 'idle' || !mapSwitch.isReady(nowMs);
+    const periodMs = isSwitching
+      ? SWITCH_REPORT_INTERVAL_MS
+      : IDLE_REPORT_INTERVAL_MS;
+    if (nowMs - this.reportsReadAtMs >= periodMs) {
+      this.reportsReadAtMs = nowMs;
+      this.readReports(mapSwitch.ranksToReport(nowMs));
     }
-    const due = this.watch.next(this.pace(), nowMs);
-    if (due !== undefined) void this.look(due);
+    const due = this.detector.nextReading(this.passDurations(), nowMs);
+    if (due !== undefined) void this.sampleDemand(due);
     if (this.isPlanDue) void this.plan();
   }
 
-  /** Reads the map in use from all ranks; an earlier leader may have set it. */
+  /**
+   * Reads the map in use from all ranks; an earlier leader may have changed it.
+   */
   private async load(nowMs: number): Promise<void> {
-    if (this.isLoading || nowMs - this.loadedAtMs < LOAD_PERIOD_MS) return;
-    this.isLoading = true;
-    this.loadedAtMs = nowMs;
-    const {ranks, codec, scope, engine, caller} = this.parts;
+    if (this.isReadingMap || nowMs - this.mapReadAtMs < MAP_READ_INTERVAL_MS)
+      return;
+    this.isReadingMap = true;
+    this.mapReadAtMs = nowMs;
+    const {ranks, codec, scope, engine, transport} = this.parts;
     const maps: (RankMap | undefined)[] = ranks.map(() => undefined);
-    const summary = await caller.callAll(
+    const summary = await transport.callAll(
       ranks,
       'map',
       codec.mapCall(),
@@ -174,7 +190,7 @@
         maps[ranks.indexOf(rank)] = map;
       }
     );
-    this.isLoading = false;
+    this.isReadingMap = false;
     this.sender.logFanOut('map', summary);
     const [first] = maps;
     const isOneMap = maps.every(
@@ -184,23 +200,23 @@
     const lists = Array.from({length: engine.expertSets}, (_, set) =>
       maps.map(map => map?.experts[set] ?? [])
     );
-    this.machine = new RankSwitch(
+    this.mapSwitch = new GroupMapSwitch(
       ranks.length,
       lists,
       first.version,
       Math.max(
-        scope.fence * VERSIONS_PER_FENCE + 1,
+        scope.fence * VERSIONS_PER_TERM + 1,
         first.version + 1,
-        this.firstVersion
+        this.minVersion
       ),
       performance.now()
     );
   }
 
-  private async look(due: DueReading): Promise<void> {
+  private async sampleDemand(due: DueReading): Promise<void> {
     const readings = await this.sampler.read();
-    const change = this.take(due, readings);
-    this.watch.took(due, change, performance.now());
+    const change = this.applyReadings(due, readings);
+    this.detector.noteReading(due, change, performance.now());
     const {name, logger} = this.parts;
     const {isBegin} = due;
     const {filled, shiftRatio} = this.demand;
@@ -212,41 +228,45 @@
         change,
         filled,
         shiftRatio,
-        ...rounded({...this.pace()}),
+        ...rounded({...this.passDurations()}),
       },
       change
     );
-    // A zone that is out, or that nobody can reach, has no requests, and the
-    // counts of its ranks stand still.
-    if (this.watch.isEmpty) this.sampler.moveOn();
+    // Ranks in a zone that failed or is unreachable get no requests, so their
+    // counts do not change.
+    if (this.detector.isSampleEmpty) this.sampler.moveToNextRanks();
     if (change !== 'shifted' && change !== 'same') return;
-    // What is being copied answers a demand that is no more.
-    if (change === 'shifted') this.machine?.drop(performance.now());
-    this.isShifted ||= change === 'shifted';
+    // The copies under way were planned for the demand before the shift.
+    if (change === 'shifted') this.mapSwitch?.abortPreparing(performance.now());
+    this.isPlanForShift ||= change === 'shifted';
     this.isPlanDue = true;
   }
 
-  private take(due: DueReading, readings: readonly RankCounts[]): DemandChange {
-    if (!due.isBegin) return this.demand.note(readings, due.isRecent);
-    this.demand.begin(readings);
+  private applyReadings(
+    due: DueReading,
+    readings: readonly RankCounts[]
+  ): DemandChange {
+    if (!due.isBegin) return this.demand.addReadings(readings, due.isRecent);
+    this.demand.beginWindows(readings);
     return 'nothing';
   }
 
-  private pace(): Pace {
-    const {engine, ranks, paceMs, running} = this.parts;
-    const skew = this.skewInForce;
+  private passDurations(): PassDurations {
+    const {engine, ranks, streamPassMs, running} = this.parts;
+    const skew = this.activeSkew;
     const requestMs = requestPassMs({engine, ranks: ranks.length, skew});
     const forecastMs = fixedPassMs(engine) + running() * requestMs;
-    return {passMs: paceMs(), forecastMs};
+    return {passMs: streamPassMs(), forecastMs};
   }
 
   private async plan(): Promise<void> {
-    const {machine} = this;
-    if (machine?.isReady(performance.now()) !== true || this.isPlanning) return;
+    const {mapSwitch} = this;
+    if (mapSwitch?.isReady(performance.now()) !== true || this.isPlanning)
+      return;
     this.isPlanning = true;
     this.isPlanDue = false;
     const {engine} = this.parts;
-    const {lists: current, slowness} = machine;
+    const {lists: current, slowness} = mapSwitch;
     const plan = await planMap({
       current,
       demand: this.demand,
@@ -254,74 +274,75 @@
       slowness,
     });
     this.isPlanning = false;
-    const {before, after, copies, copiesOnRank, lists} = plan;
-    this.skewInForce = before;
+    const {before, after, copies, maxCopiesOnRank, lists} = plan;
+    this.activeSkew = before;
     this.plannedSkew = after;
     this.hasPlanned = true;
-    // A slow rank says nothing of the skew that the next shift will bring.
-    if (this.isShifted)
+    // The skew caused by a slow rank does not predict that of the next shift.
+    if (this.isPlanForShift)
       this.parts.shifts.note(plan.beforeIfInOrder, performance.now());
-    this.isShifted = false;
-    if (!this.isWorth(before - after)) return;
+    this.isPlanForShift = false;
+    if (!this.isSwitchWorthwhile(before - after)) return;
     this.parts.logger.info(
       {event: 'map.planned', group: this.parts.name, before, after, copies},
       'switching expert maps'
     );
     this.parts.metrics.switched(this.parts.name);
-    const copyMs = copiesOnRank * this.parts.engine.expertCopyMs;
-    this.send(machine.begin(lists, copyMs, performance.now()));
+    const copyMs = maxCopiesOnRank * this.parts.engine.expertCopyMs;
+    this.send(mapSwitch.begin(lists, copyMs, performance.now()));
   }
 
-  /** A skew costs more, the nearer passes are to the accepted pause. */
-  private isWorth(gain: number): boolean {
-    const {paceMs, acceptedPauseMs} = this.parts;
-    const strain = acceptedPauseMs === 0 ? 1 : paceMs() / acceptedPauseMs;
-    return gain * Math.min(1, strain) >= MIN_GAIN;
+  /** Skew costs more the closer the pass duration is to the accepted pause. */
+  private isSwitchWorthwhile(skewReduction: number): boolean {
+    const {streamPassMs, acceptedPauseMs} = this.parts;
+    const passLengthRatio =
+      acceptedPauseMs === 0 ? 1 : streamPassMs() / acceptedPauseMs;
+    return skewReduction * Math.min(1, passLengthRatio) >= MIN_SKEW_REDUCTION;
   }
 
   private readReports(indexes: readonly number[]): void {
-    const {ranks, codec, caller} = this.parts;
-    const askedAtMs = performance.now();
-    const asked = indexes.flatMap(index => ranks[index] ?? []);
-    if (asked.length === 0) return;
+    const {ranks, codec, transport} = this.parts;
+    const requestedAtMs = performance.now();
+    const queriedRanks = indexes.flatMap(index => ranks[index] ?? []);
+    if (queriedRanks.length === 0) return;
     const call = codec.reportCall();
-    void caller.callAll(asked, 'report', call, (rank, answer) =>
-      this.takeReport(ranks.indexOf(rank), answer, askedAtMs)
+    void transport.callAll(queriedRanks, 'report', call, (rank, answer) =>
+      this.noteReport(ranks.indexOf(rank), answer, requestedAtMs)
     );
   }
 
-  private takeReport(
+  private noteReport(
     rank: number,
     answer: RankAnswer | undefined,
-    askedAtMs: number
+    requestedAtMs: number
   ): void {
     const {codec} = this.parts;
     const report = isOk(answer) ? codec.readReport(answer.text) : undefined;
     if (report === undefined) return;
-    const event = {kind: 'report', rank, report, askedAtMs} as const;
-    this.send(this.machine?.step(event, performance.now()) ?? []);
+    const event = {kind: 'report', rank, report, requestedAtMs} as const;
+    this.send(this.mapSwitch?.step(event, performance.now()) ?? []);
   }
 
-  private send(orders: readonly SentOrder[]): void {
+  private send(orders: readonly OutgoingOrder[]): void {
     this.logPhase();
     this.sender.send(orders);
   }
 
   private logPhase(): void {
-    const {machine} = this;
-    if (machine === undefined) return;
-    const {state} = machine;
+    const {mapSwitch} = this;
+    if (mapSwitch === undefined) return;
+    const {state} = mapSwitch;
     const pass = 'pass' in state ? state.pass : undefined;
     const version = 'version' in state ? state.version : undefined;
-    const text = `${state.kind} ${version} ${pass}`;
-    if (text === this.nextVersionSeen) return;
-    this.nextVersionSeen = text;
+    const phaseText = `${state.kind} ${version} ${pass}`;
+    if (phaseText === this.loggedPhase) return;
+    this.loggedPhase = phaseText;
     const {name, scope, logger} = this.parts;
-    if (state.kind === 'releasing' && state.then === 'switched')
-      this.skewInForce = this.plannedSkew;
-    const skew = this.skewInForce;
+    if (state.kind === 'releasing' && state.map === 'new')
+      this.activeSkew = this.plannedSkew;
+    const skew = this.activeSkew;
     logger.info(
-      {event: 'map.phase', group: name, ...scope, phase: text, skew},
+      {event: 'map.phase', group: name, ...scope, phase: phaseText, skew},
       state.kind
     );
   }
--- a/src/ranks/lastSwitch.ts
+++ b/src/ranks/lastSwitch.ts
@@ -1,36 +1,42 @@
 /**
- * The switches that were let go. Every rank was armed when `go` was given, so
- * that their maps come in force whatever is late; only when is not known.
+ * Switches whose hold was released by `go`. Every rank was armed by then, so
+ * their maps become active whatever orders are late; only the time is unknown.
  */
 
 import type {RankReport} from '../ports/rankPort';
-import type {Released} from './rankReports';
+import type {ReleasedVersions} from './rankReports';
 
-/** What is known of the last one, and the versions of all. */
-export class LastSwitch {
-  private readonly versions = new Set<number>();
-  /** Its pass, until that is known to have begun. */
+/** Versions of all released switches, and the progress of the last one. */
+export class ReleasedSwitches {
+  private readonly versionSet = new Set<number>();
+  /** First pass of the last switch's map, until it is known to have begun. */
   private awaitedPass: number | undefined;
   private expectedAtMs = -Infinity;
 
-  /** Reports show ranks armed for these a little longer than they are. */
-  get released(): Released {
-    return this.versions;
+  /**
+   * Versions of all released switches. Reports are delayed and may show ranks
+   * still armed for them.
+   */
+  get versions(): ReleasedVersions {
+    return this.versionSet;
   }
 
-  /** Whether its pass has surely begun. */
+  /** Whether the last switch's pass is known to have begun. */
   get hasBegun(): boolean {
     return this.awaitedPass === undefined;
   }
 
-  /** Whether its pass has begun, or should have by now. */
+  /** Whether the last switch's pass has begun, or should have by now. */
   isDue(nowMs: number): boolean {
     return this.hasBegun || nowMs >= this.expectedAtMs;
   }
 
-  /** Notes that a switch was let go; its pass is expected to begin then. */
+  /**
+   * Notes that the hold of a switch was released; its pass is expected to begin
+   * at `expectedAtMs`.
+   */
   noteReleased(version: number, pass: number, expectedAtMs: number): void {
-    this.versions.add(version);
+    this.versionSet.add(version);
     this.awaitedPass = pass;
     this.expectedAtMs = expectedAtMs;
   }
@@ -43,7 +49,10 @@
     this.awaitedPass = undefined;
   }
 
-  /** A rank is still armed: only a report will tell now. */
+  /**
+   * Notes that a rank is still armed. From now on only a report can show that
+   * the pass has begun.
+   */
   noteStillArmed(): void {
     this.expectedAtMs = Infinity;
   }
--- a/src/ranks/mapPlan.ts
+++ b/src/ranks/mapPlan.ts
@@ -1,4 +1,4 @@
-/** Plans the next map of a group: which experts each rank holds, set by set. */
+/** Plans the next map of a group: the experts on each rank, set by set. */
 
 import {sum} from '../core/sum';
 import type {MapLists} from '../ports/rankPort';
@@ -7,47 +7,49 @@
 import type {EngineProfile} from '../site/site';
 import type {ExpertDemand} from './expertDemand';
 
-/** Fall of the highest load, in mean loads, that pays for one copy. */
-const MIN_GAIN_PER_COPY = 0.01;
+/**
+ * Least reduction of the highest load, in mean loads, that justifies one copy.
+ */
+const MIN_SKEW_REDUCTION_PER_COPY = 0.01;
 
-/** What a plan starts from. */
+/** Input of a plan. */
 export interface MapPlanInput {
-  /** Map in force. */
+  /** Map in use. */
   readonly current: MapLists;
   readonly demand: ExpertDemand;
   readonly engine: EngineProfile;
-  /** Times that the work of each rank takes as long as usual. */
+  /** Slowdown factor of each rank; 1 for normal speed. */
   readonly slowness: readonly number[];
 }
 
 /** A plan for all sets. */
 export interface MapPlan {
   readonly lists: MapLists;
-  /** Mean skew of the sets, slow ranks included. */
+  /** Mean skew of the sets, including the effect of slow ranks. */
   readonly before: number;
   readonly after: number;
-  /** Mean skew before if all ranks were in order. */
+  /** Mean skew before, as if all ranks ran at normal speed. */
   readonly beforeIfInOrder: number;
   readonly copies: number;
-  /** Most copies that one rank makes. */
-  readonly copiesOnRank: number;
+  /** Highest number of copies that one rank makes. */
+  readonly maxCopiesOnRank: number;
 }
 
 /**
  * Plans set by set and yields to the event loop between them. The sets with the
- * highest skew come first, since ranks take few copies in all.
+ * highest skew come first, because each rank makes only few copies in total.
  */
 export async function planMap(input: MapPlanInput): Promise<MapPlan> {
   const {current, demand, engine, slowness} = input;
-  const skews = skewsOf(current, demand, slowness);
+  const skews = skewBySet(current, demand, slowness);
   const before = meanOf(skews);
-  const beforeIfInOrder = meanOf(skewsOf(current, demand));
-  const perRank = copiesARank({
+  const beforeIfInOrder = meanOf(skewBySet(current, demand));
+  const copiesPerRank = copiesARank({
     skew: before,
     skewIfInOrder: beforeIfInOrder,
     copyMs: engine.expertCopyMs,
   });
-  const left = (current[0] ?? []).map(() => perRank);
+  const remaining = (current[0] ?? []).map(() => copiesPerRank);
   const lists = [...current];
   let copies = 0;
   const order = skews
@@ -56,35 +58,35 @@
   for (const [position, {set}] of order.entries()) {
     const plan = planSpread(current[set] ?? [], demand.ofSet(set), {
       places: engine.placesPerRank,
-      newOnRank: left.map(count => Math.min(count, engine.sparePlaces)),
-      minGainPerCopy: MIN_GAIN_PER_COPY,
-      // An even part of what all ranks take in, for each set that is left.
-      maxCopies: Math.ceil(sum(left) / (order.length - position)),
+      newOnRank: remaining.map(count => Math.min(count, engine.sparePlaces)),
+      minGainPerCopy: MIN_SKEW_REDUCTION_PER_COPY,
+      // Divides the remaining copies evenly among the remaining sets.
+      maxCopies: Math.ceil(sum(remaining) / (order.length - position)),
       slowness,
     });
     plan.lists.forEach((list, rank) => {
       const held = current[set]?.[rank] ?? [];
-      const fresh = list.filter(expert => !held.includes(expert)).length;
-      left[rank] = (left[rank] ?? 0) - fresh;
+      const newCopies = list.filter(expert => !held.includes(expert)).length;
+      remaining[rank] = (remaining[rank] ?? 0) - newCopies;
     });
     lists[set] = plan.lists;
     skews[set] = plan.skewAfter;
     copies += plan.copies;
     await new Promise(resolve => setImmediate(resolve));
   }
-  const copiesOnRank = perRank - Math.min(...left);
+  const maxCopiesOnRank = copiesPerRank - Math.min(...remaining);
   const after = meanOf(skews);
-  return {lists, before, after, beforeIfInOrder, copies, copiesOnRank};
+  return {lists, before, after, beforeIfInOrder, copies, maxCopiesOnRank};
 }
 
-/** Highest load over the mean, by set; ranks are in order when not told. */
-function skewsOf(
+/** Highest load over the mean, by set; without `slowness`, at normal speed. */
+function skewBySet(
   lists: MapLists,
   demand: ExpertDemand,
   slowness?: readonly number[]
 ): number[] {
-  return lists.map((ofSet, set) =>
-    spreadSkew(ofSet, demand.ofSet(set), slowness)
+  return lists.map((setLists, set) =>
+    spreadSkew(setLists, demand.ofSet(set), slowness)
   );
 }
 
--- a/src/ranks/orderBatches.ts
+++ b/src/ranks/orderBatches.ts
@@ -1,22 +1,22 @@
-/** Orders that are alike, so that each is encoded and logged once for all its ranks. */
+/** Batches equal orders, to encode and log each once for all its ranks. */
 
 import {unreachable} from '../core/errors';
 import type {OrderAnswer, RankOrder} from '../ports/rankPort';
-import type {SentOrder} from './switchPhase';
+import type {OutgoingOrder} from './switchPhase';
 
-/** One order and the ranks that it goes to. */
+/** One order and the ranks that receive it. */
 export interface OrderBatch {
   readonly order: RankOrder;
   readonly ranks: readonly number[];
 }
 
-/** Groups equal orders. */
-export function orderBatches(
-  orders: readonly SentOrder[]
+/** Groups equal orders into batches. */
+export function batchOrders(
+  orders: readonly OutgoingOrder[]
 ): readonly OrderBatch[] {
   const batches = new Map<string, {order: RankOrder; ranks: number[]}>();
   for (const {rank, order} of orders) {
-    const key = keyOf(order);
+    const key = batchKey(order);
     const batch = batches.get(key) ?? {order, ranks: []};
     batch.ranks.push(rank);
     batches.set(key, batch);
@@ -24,8 +24,8 @@
   return [...batches.values()];
 }
 
-/** A version stands for one map. */
-function keyOf(order: RankOrder): string {
+/** Equal for equal orders: a version identifies one map. */
+function batchKey(order: RankOrder): string {
   switch (order.kind) {
     case 'prepare':
     case 'disarm':
@@ -40,12 +40,12 @@
   }
 }
 
-/** Answers to one batch, counted by kind. */
+/** Responses to one batch, counted by outcome. */
 export class AnswerTally {
   private readonly counts = new Map<OrderAnswer, number>();
   private reason: string | undefined;
 
-  /** Notes an answer; the text of the first one that was not taken is kept. */
+  /** Counts a response; keeps the text of the first one that is not `done`. */
   note(answer: OrderAnswer, text: string | undefined): void {
     this.counts.set(answer, (this.counts.get(answer) ?? 0) + 1);
     if (answer !== 'done') this.reason ??= text;
--- a/src/ranks/orderSender.ts
+++ b/src/ranks/orderSender.ts
@@ -1,4 +1,4 @@
-/** Sends the orders of one group to its ranks, and tells what they answered. */
+/** Sends the orders of one group to its ranks, and passes on the responses. */
 
 import type {Logger} from '../core/logger';
 import type {NodeMetrics} from '../core/nodeMetrics';
@@ -11,40 +11,43 @@
 } from '../ports/rankPort';
 import type {Located} from '../policy/relayPlan';
 import type {OrderBatch} from './orderBatches';
-import {AnswerTally, orderBatches} from './orderBatches';
-import type {FanOutSummary, RankCallKind, RankCaller} from './rankCaller';
+import {AnswerTally, batchOrders} from './orderBatches';
+import type {FanOutSummary, RankCallKind, RankTransport} from './rankCaller';
 import type {RankAnswer} from './rankClient';
-import type {SentOrder, SwitchEvent} from './switchPhase';
+import type {OutgoingOrder, SwitchEvent} from './switchPhase';
 
-/** What a sender needs. */
+/** Dependencies of an order sender. */
 export interface OrderSenderParts {
   /** Name of the group. */
   readonly name: string;
   readonly scope: OrderScope;
   readonly ranks: readonly (Located & {readonly id: string})[];
   readonly codec: RankCodec;
-  readonly caller: RankCaller;
+  readonly transport: RankTransport;
   readonly logger: Logger;
   readonly metrics: NodeMetrics;
 }
 
-/** Orders of one group. */
+/** Sends orders to the ranks of one group, in batches of equal orders. */
 export class OrderSender {
-  private readonly unsent: SentOrder[] = [];
+  private readonly queuedOrders: OutgoingOrder[] = [];
 
   constructor(
     private readonly parts: OrderSenderParts,
     private readonly onAnswer: (event: SwitchEvent) => void
   ) {}
 
-  /** Answers that arrive together are followed by one order for all their ranks. */
-  send(orders: readonly SentOrder[]): void {
+  /**
+   * Queues orders and sends them in a microtask, so that responses that arrive
+   * together lead to one batch for all their ranks.
+   */
+  send(orders: readonly OutgoingOrder[]): void {
     if (orders.length === 0) return;
-    if (this.unsent.length === 0) queueMicrotask(() => this.flush());
-    this.unsent.push(...orders);
+    if (this.queuedOrders.length === 0) queueMicrotask(() => this.flush());
+    this.queuedOrders.push(...orders);
   }
 
-  /** One line for a fan-out, whatever the number of ranks. */
+  /** Logs one line per fan-out, independent of the number of ranks. */
   logFanOut(
     kind: RankCallKind,
     summary: FanOutSummary,
@@ -53,22 +56,22 @@
     const {name, logger} = this.parts;
     logger.info(
       {event: 'map.fanout', group: name, kind, ...summary, ...tally?.fields},
-      'ranks called'
+      `called ${summary.sent} ranks, ${summary.answered} responded`
     );
   }
 
   private flush(): void {
-    const orders = this.unsent.splice(0);
-    for (const batch of orderBatches(orders)) void this.sendBatch(batch);
+    const orders = this.queuedOrders.splice(0);
+    for (const batch of batchOrders(orders)) void this.sendBatch(batch);
   }
 
   private async sendBatch({order, ranks: indexes}: OrderBatch): Promise<void> {
-    const {ranks, codec, scope, caller} = this.parts;
+    const {ranks, codec, scope, transport} = this.parts;
     const call: RankCall = codec.orderCall(order, scope);
     const tally = new AnswerTally();
-    const ofBatch = indexes.flatMap(index => ranks[index] ?? []);
-    const summary = await caller.callAll(
-      ofBatch,
+    const batchRanks = indexes.flatMap(index => ranks[index] ?? []);
+    const summary = await transport.callAll(
+      batchRanks,
       order.kind,
       call,
       (rank, result) => {
--- a/src/ranks/passClock.ts
+++ b/src/ranks/passClock.ts
@@ -1,61 +1,71 @@
-/** Which pass a group begins next, estimated from reports of its ranks. */
+/** Estimates which pass a group begins next, from the reports of its ranks. */
 
-/** Age of what a report shows. */
-const REPORT_AGE_MS = 200;
-/** Before any pass was measured: a group under load. */
-const FIRST_PASS_MS = 50;
-/** Passes of an idle group tell nothing of their length. */
-const LONGEST_PASS_MS = 400;
-const SMOOTHING = 0.3;
+/** Age of the state that a report shows. */
+const REPORT_DELAY_MS = 200;
+/** Pass duration before the first measurement: that of a group under load. */
+const INITIAL_PASS_MS = 50;
+/**
+ * Longer passes are not measured: in an idle group, the interval of passes does
+ * not show their duration.
+ */
+const MAX_MEASURED_PASS_MS = 400;
+const PASS_EWMA_WEIGHT = 0.3;
 
-/** Counts passes between reports. */
+/** Extrapolates the pass counter between reports. */
 export class PassClock {
   private pass = 0;
   private atMs = -Infinity;
-  private passMs = FIRST_PASS_MS;
-  private paceMs = 0;
-  private lastTaken = 0;
+  private passMs = INITIAL_PASS_MS;
+  private streamPassMs = 0;
+  private lastReserved = 0;
 
-  /** Takes in the last pass that a report shows. */
-  note(pass: number, askedAtMs: number): void {
-    if (askedAtMs <= this.atMs || pass < this.pass) return;
+  /**
+   * Notes the last pass of a report; `requestedAtMs` is when it was requested.
+   */
+  noteReport(pass: number, requestedAtMs: number): void {
+    if (requestedAtMs <= this.atMs || pass < this.pass) return;
     const passes = pass - this.pass;
-    const ms = (askedAtMs - this.atMs) / Math.max(1, passes);
-    const isMeasured = passes > 0 && ms <= LONGEST_PASS_MS;
-    if (isMeasured) this.passMs += (ms - this.passMs) * SMOOTHING;
+    const measuredMs = (requestedAtMs - this.atMs) / Math.max(1, passes);
+    const isMeasured = passes > 0 && measuredMs <= MAX_MEASURED_PASS_MS;
+    if (isMeasured)
+      this.passMs += (measuredMs - this.passMs) * PASS_EWMA_WEIGHT;
     this.pass = pass;
-    this.atMs = askedAtMs;
+    this.atMs = requestedAtMs;
   }
 
-  /** Takes in the length of a pass as streams show it; 0 when none runs. */
-  notePace(paceMs: number): void {
-    this.paceMs = paceMs;
+  /** Notes the pass duration observed in streams; 0 when no stream runs. */
+  noteStreamPassMs(passMs: number): void {
+    this.streamPassMs = passMs;
   }
 
-  /** When the pass has likely begun; one that is due begins within a pass. */
-  beginOf(pass: number, nowMs: number): number {
-    const ahead = Math.max(1, pass - this.nextPass(nowMs) + 1);
-    return nowMs + ahead * Math.max(this.passMs, this.paceMs);
+  /**
+   * Time by which the pass has likely begun. A pass that should have begun
+   * already is expected within one pass duration.
+   */
+  expectedBeginMs(pass: number, nowMs: number): number {
+    const passesAhead = Math.max(1, pass - this.nextPass(nowMs) + 1);
+    return nowMs + passesAhead * Math.max(this.passMs, this.streamPassMs);
   }
 
   /**
-   * A pass for the next hold, `spare` passes after the one that begins next. Never
-   * the same twice: a late order of an earlier try must not fit.
+   * Reserves a pass for the next hold, `leadPasses` after the one that begins
+   * next. No pass is reserved twice, so that a late order of an earlier attempt
+   * never matches a later hold.
    */
-  takeNext(nowMs: number, spare: number): number {
-    const next = this.nextPass(nowMs) + spare;
-    this.lastTaken = Math.max(next, this.lastTaken + 1);
-    return this.lastTaken;
+  reservePass(nowMs: number, leadPasses: number): number {
+    const next = this.nextPass(nowMs) + leadPasses;
+    this.lastReserved = Math.max(next, this.lastReserved + 1);
+    return this.lastReserved;
   }
 
-  /** Takes no pass up to this one any more. */
-  exclude(pass: number): void {
-    this.lastTaken = Math.max(this.lastTaken, pass);
+  /** Reserves no pass up to this one from now on. */
+  excludeUpTo(pass: number): void {
+    this.lastReserved = Math.max(this.lastReserved, pass);
   }
 
   /** The pass after the one that is likely running. */
   nextPass(nowMs: number): number {
-    const ageMs = Math.max(0, nowMs - this.atMs) + REPORT_AGE_MS;
+    const ageMs = Math.max(0, nowMs - this.atMs) + REPORT_DELAY_MS;
     if (!Number.isFinite(ageMs)) return this.pass + 1;
     return this.pass + Math.floor(ageMs / this.passMs) + 1;
   }
--- a/src/ranks/rankCaller.ts
+++ b/src/ranks/rankCaller.ts
@@ -1,4 +1,4 @@
-/** Calls to the ranks of a group, passed on by other nodes where it is large. */
+/** Calls the ranks of a group; large groups are called through other nodes. */
 
 import {from, lastValueFrom, mergeMap, toArray} from 'rxjs';
 import {packText} from '../site/packText';
@@ -11,15 +11,15 @@
 import {RELAY_METHOD, RELAY_REPLY} from './relayMessages';
 import type {RelayParams} from './relayMessages';
 
-/** What a call is for; calls of one kind take about the same time. */
+/** Purpose of a call; each kind has a timeout of its own. */
 export type RankCallKind =
   'report' | 'counts' | 'map' | 'prepare' | 'disarm' | 'arm' | 'hold' | 'go';
 
-/** Nodes that can pass calls on. */
+/** Access to the nodes that can relay calls. */
 export interface RelayNodes {
-  /** Nodes that reported a moment ago, this one excluded. */
+  /** Nodes that reported recently, without this one. */
   relays(): readonly Located[];
-  /** Rejects when no answer came in time. */
+  /** Rejects when no reply arrives within the timeout. */
   callNode(
     ip: string,
     method: string,
@@ -28,34 +28,42 @@
   ): Promise<unknown>;
 }
 
-/** How a fan-out went. */
+/** Outcome of a fan-out. */
 export interface FanOutSummary {
   readonly sent: number;
   readonly answered: number;
-  /** Nodes that passed calls on. */
+  /** Nodes that relayed calls. */
   readonly relays: number;
   readonly tookMs: number;
 }
 
-/** Calls answered in a moment: a lost one holds up the whole group. */
-const SMALL_BOUNDS = {minMs: 60, maxMs: 1_000, initialMs: 60};
-/** Tens of kilobytes over the narrow link of a rank. */
-const BULK_BOUNDS = {minMs: 120, maxMs: 1_500, initialMs: 300};
-/** Way to a relay and back, beside the calls that it makes. */
-const RELAY_ALLOWANCE_MS = 120;
-/** A relay that failed is left out for so long. */
-const RELAY_REST_MS = 3_000;
-/** Direct calls in flight. */
+/**
+ * Timeout bounds of calls with small messages, which get a response at once.
+ * Short, because a lost one holds up the whole group.
+ */
+const SMALL_TIMEOUT_BOUNDS = {minMs: 60, maxMs: 1_000, initialMs: 60};
+/**
+ * Timeout bounds of calls that transfer tens of kilobytes over the narrow link
+ * of a rank.
+ */
+const BULK_TIMEOUT_BOUNDS = {minMs: 120, maxMs: 1_500, initialMs: 300};
+/**
+ * Time of the round trip to a relay, in addition to the calls that it makes.
+ */
+const RELAY_OVERHEAD_MS = 120;
+/** Time during which a relay that failed is not used. */
+const FAILED_RELAY_BACKOFF_MS = 3_000;
+/** Most direct calls in flight at once. */
 const MAX_CONCURRENT_CALLS = 16;
 
-/** Calls to ranks, with limits that follow the answers. */
-export class RankCaller {
+/** Calls ranks, with timeouts that adapt to the measured response times. */
+export class RankTransport {
   private readonly timeouts = new Map<RankCallKind, RetransmitTimeout>();
-  private readonly restUntilMs = new Map<string, number>();
+  private readonly backoffUntilMs = new Map<string, number>();
 
   constructor(private readonly nodes: RelayNodes) {}
 
-  /** Calls one rank; undefined when no answer came in time. */
+  /** Calls one rank; undefined when no response arrived in time. */
   async call(
     rank: Located,
     kind: RankCallKind,
@@ -68,7 +76,10 @@
     return answer;
   }
 
-  /** Makes the same call to many ranks; answers are told as they come. */
+  /**
+   * Makes the same call to many ranks; `onAnswer` gets each response as it
+   * comes.
+   */
   async callAll<T extends Located>(
     ranks: readonly T[],
     kind: RankCallKind,
@@ -79,22 +90,22 @@
     const limitMs = this.timeoutOf(kind).ms;
     const shares = planRelays(ranks, this.usableRelays(startMs));
     const packedBody = shares.some(({relay}) => relay !== undefined)
-      ? packedOf(call)
+      ? packBody(call)
       : undefined;
     const answers = await Promise.all(
-      shares.map(({relay, ranks: ofShare}) =>
+      shares.map(({relay, ranks: shareRanks}) =>
         relay === undefined
-          ? callDirectly(ofShare, call, limitMs, onAnswer)
-          : this.callThrough(
+          ? callDirectly(shareRanks, call, limitMs, onAnswer)
+          : this.callViaRelay(
               relay,
               {method: call.method, path: call.path, packedBody, limitMs},
-              ofShare,
+              shareRanks,
               onAnswer
             )
       )
     );
     const answered = answers.flat().filter(answer => answer !== undefined);
-    this.noteAll(kind, answered, ranks.length);
+    this.noteResponses(kind, answered, ranks.length);
     return {
       sent: ranks.length,
       answered: answered.length,
@@ -103,7 +114,7 @@
     };
   }
 
-  private async callThrough<T extends Located>(
+  private async callViaRelay<T extends Located>(
     relay: string,
     call: Omit<RelayParams, 'addresses'>,
     ranks: readonly T[],
@@ -111,16 +122,20 @@
   ): Promise<readonly (RankAnswer | undefined)[]> {
     const addresses = ranks.map(({address}) => address);
     const params = {...call, addresses};
-    const limitMs = call.limitMs + RELAY_ALLOWANCE_MS;
+    const timeoutMs = call.limitMs + RELAY_OVERHEAD_MS;
     let answers: readonly (RankAnswer | undefined)[] = [];
     try {
       const reply = RELAY_REPLY.parse(
-        await this.nodes.callNode(relay, RELAY_METHOD, params, limitMs)
+        await this.nodes.callNode(relay, RELAY_METHOD, params, timeoutMs)
       );
       answers = reply.answers.map(answer => answer ?? undefined);
     } catch {
-      // Counted as unanswered; the summary of the fan-out is logged.
-      this.restUntilMs.set(relay, performance.now() + RELAY_REST_MS);
+      // Its ranks count as unanswered in the summary of the fan-out, which is
+      // logged.
+      this.backoffUntilMs.set(
+        relay,
+        performance.now() + FAILED_RELAY_BACKOFF_MS
+      );
     }
     ranks.forEach((rank, i) => onAnswer(rank, answers[i]));
     return answers;
@@ -129,10 +144,10 @@
   private usableRelays(nowMs: number): readonly Located[] {
     return this.nodes
       .relays()
-      .filter(({address}) => (this.restUntilMs.get(address) ?? 0) <= nowMs);
+      .filter(({address}) => (this.backoffUntilMs.get(address) ?? 0) <= nowMs);
   }
 
-  private noteAll(
+  private noteResponses(
     kind: RankCallKind,
     answered: readonly RankAnswer[],
     sent: number
@@ -146,7 +161,9 @@
     const known = this.timeouts.get(kind);
     if (known !== undefined) return known;
     const isBulk = kind === 'prepare' || kind === 'counts';
-    const timeout = new RetransmitTimeout(isBulk ? BULK_BOUNDS : SMALL_BOUNDS);
+    const timeout = new RetransmitTimeout(
+      isBulk ? BULK_TIMEOUT_BOUNDS : SMALL_TIMEOUT_BOUNDS
+    );
     this.timeouts.set(kind, timeout);
     return timeout;
   }
@@ -155,13 +172,13 @@
 function callDirectly<T extends Located>(
   ranks: readonly T[],
   call: RankCall,
-  limitMs: number,
+  timeoutMs: number,
   onAnswer: (rank: T, answer: RankAnswer | undefined) => void
 ): Promise<readonly (RankAnswer | undefined)[]> {
   return lastValueFrom(
     from(ranks).pipe(
       mergeMap(async rank => {
-        const answer = await callRank(rank.address, call, limitMs);
+        const answer = await callRank(rank.address, call, timeoutMs);
         onAnswer(rank, answer);
         return answer;
       }, MAX_CONCURRENT_CALLS),
@@ -170,6 +187,6 @@
   );
 }
 
-function packedOf({body}: RankCall): string | undefined {
+function packBody({body}: RankCall): string | undefined {
   return body === undefined ? undefined : packText(body);
 }
--- a/src/ranks/rankClient.ts
+++ b/src/ranks/rankClient.ts
@@ -1,21 +1,21 @@
-/** Calls to one rank; each on a connection of its own. */
+/** HTTP client for ranks. Each call uses a connection of its own. */
 
 import http from 'node:http';
 import type {RankCall} from '../ports/rankPort';
 
-/** Answer of a rank. */
+/** HTTP response of a rank. */
 export interface RankAnswer {
   readonly status: number;
   readonly text: string;
-  /** Duration of the call, milliseconds. */
+  /** Duration of the call in milliseconds. */
   readonly tookMs: number;
 }
 
-/** Resolves with undefined when no answer came within the limit. */
+/** Resolves with undefined on an error, or without a response in time. */
 export function callRank(
   address: string,
   call: RankCall,
-  limitMs: number
+  timeoutMs: number
 ): Promise<RankAnswer | undefined> {
   return new Promise(resolve => {
     const [host, port] = address.split(':');
@@ -37,7 +37,7 @@
         finish(complete ? {status, text, tookMs} : undefined);
       });
     });
-    const timer = setTimeout(() => finish(undefined), limitMs);
+    const timer = setTimeout(() => finish(undefined), timeoutMs);
     const finish = (answer: RankAnswer | undefined) => {
       clearTimeout(timer);
       req.destroy();
@@ -50,7 +50,7 @@
 
 const OK = 200;
 
-/** Whether it came and holds what was asked for. */
+/** Whether a response arrived and has status 200. */
 export function isOk(answer: RankAnswer | undefined): answer is RankAnswer {
   return answer?.status === OK;
 }
--- a/src/ranks/rankDirector.ts
+++ b/src/ranks/rankDirector.ts
@@ -1,4 +1,4 @@
-/** Keeps a controller for each group of ranks while this node leads. */
+/** Runs a controller for each group of ranks while this node is the leader. */
 
 import type {ClusterNode} from '../cluster/clusterNode';
 import type {Logger} from '../core/logger';
@@ -12,37 +12,37 @@
 import type {Located} from '../policy/relayPlan';
 import {ShiftHistory} from '../policy/shiftHistory';
 import {GroupController} from './groupController';
-import {RankCaller} from './rankCaller';
+import {RankTransport} from './rankCaller';
 
 interface RunningGroup {
-  /** Leader's term, epoch and ranks; another key is another controller. */
+  /** Leader's term, epoch and ranks; a new key needs a new controller. */
   readonly key: string;
   readonly service: string;
   readonly controller: GroupController;
-  /** Outlives the controllers. */
+  /** Passed on to the group's next controller. */
   readonly shifts: ShiftHistory;
 }
 
-/** Controllers by service and group. */
+/** Controllers of all groups, by name of the group. */
 export class RankDirector {
   private readonly groups = new Map<string, RunningGroup>();
-  private readonly caller: RankCaller;
+  private readonly transport: RankTransport;
 
   constructor(
     private readonly node: ClusterNode,
     private readonly codec: RankCodec,
     private readonly logger: Logger,
     private readonly metrics: NodeMetrics,
-    /** Length of a pass of a group, as this node's streams show it. */
-    private readonly paceMs: (service: string, group: string) => number
+    /** Pass duration of a group, as observed in this node's streams. */
+    private readonly streamPassMs: (service: string, group: string) => number
   ) {
-    this.caller = new RankCaller({
-      relays: () => relaysOf(node),
+    this.transport = new RankTransport({
+      relays: () => relayNodes(node),
       callNode: (...call) => node.callNode(...call),
     });
   }
 
-  /** Regular work; nothing is ordered while another node leads. */
+  /** Periodic work; no orders are sent while another node is the leader. */
   tick(nowMs: number): void {
     if (!this.node.leads) {
       this.groups.clear();
@@ -53,7 +53,7 @@
         this.tickService(service, nowMs);
   }
 
-  /** Undefined while the group is not led from here. */
+  /** Undefined while this node runs no controller for the group. */
   outlook(
     service: string,
     group: string,
@@ -69,9 +69,10 @@
     for (const [name, ranks] of this.groupsOf(service.name)) {
       const [first] = ranks;
       const size = first?.group?.size ?? 0;
-      const isWhole = ranks.length === size && size > 0;
-      // Half a group orders nothing: it is broken, or about to form anew.
-      if (!isWhole || openings.get(name)?.isOpen !== true) continue;
+      const isComplete = ranks.length === size && size > 0;
+      // An incomplete or closed group gets no orders: it is broken, or about to
+      // form again.
+      if (!isComplete || openings.get(name)?.isOpen !== true) continue;
       this.tickGroup(service, name, ranks, nowMs);
     }
   }
@@ -90,20 +91,20 @@
     if (engine === undefined) return;
     if (running?.key !== key) {
       const shifts =
-        running?.shifts ?? this.knownShifts(service.name, name, nowMs);
+        running?.shifts ?? this.initialShifts(service.name, name, nowMs);
       const controller = new GroupController({
         name,
         engine,
         scope: {fence: this.node.term, epoch},
         ranks,
         codec: this.codec,
-        caller: this.caller,
+        transport: this.transport,
         logger: this.logger,
         metrics: this.metrics,
-        paceMs: () => this.paceMs(service.name, name),
+        streamPassMs: () => this.streamPassMs(service.name, name),
         running: () => this.node.runningRequests(service.name, name),
         acceptedPauseMs: this.acceptedPauseMs(service.name),
-        // The same requests go on asking for the same experts.
+        // The same requests continue to choose the same experts.
         demand: running?.controller.demand,
         shifts,
       });
@@ -113,8 +114,11 @@
     if (!running.controller.isFenced) running.controller.tick(nowMs);
   }
 
-  /** What an earlier leader told of the shifts; the next one comes soon. */
-  private knownShifts(
+  /**
+   * Starts from the skew of shifts that an earlier leader reported, since the
+   * next shift may follow soon.
+   */
+  private initialShifts(
     service: string,
     group: string,
     nowMs: number
@@ -130,7 +134,7 @@
       : (streamGoals(site).get(service)?.pauseMs ?? 0);
   }
 
-  /** The newest life at each place of each group, in the order of places. */
+  /** Newest record for each rank of each group, in the order of ranks. */
   private groupsOf(
     service: string
   ): ReadonlyMap<string, readonly TargetRecord[]> {
@@ -145,15 +149,15 @@
       if (known === undefined || known.bornMs <= record.bornMs)
         members[group.rank] = record;
     }
-    // A place that nobody has told of yet leaves a gap.
+    // Removes the gaps that ranks without a record leave in the arrays.
     for (const [name, members] of groups)
       groups.set(name, Object.values(members));
     return groups;
   }
 }
 
-/** Nodes whose zone is known, busy ones of the log last. */
-function relaysOf(node: ClusterNode): readonly Located[] {
+/** Nodes with a known zone. Those with a disk, busy with the log, come last. */
+function relayNodes(node: ClusterNode): readonly Located[] {
   return node
     .recentNodes()
     .flatMap(({ip, hasDisk, availabilityZone}) =>
--- a/src/ranks/rankRelay.ts
+++ b/src/ranks/rankRelay.ts
@@ -1,4 +1,4 @@
-/** Passes calls on to ranks near this node, for the node that leads. */
+/** Relays calls from the leader to ranks near this node. */
 
 import {unpackText} from '../site/packText';
 import type {RankCall} from '../ports/rankPort';
@@ -6,7 +6,7 @@
 import type {RelayParams, RelayReply} from './relayMessages';
 
 /**
- * Calls the ranks and collects their answers. Only addresses of targets that
+ * Calls the ranks and collects their responses. Only addresses of targets that
  * this node knows are called.
  */
 export async function relayToRanks(
--- a/src/ranks/rankReports.ts
+++ b/src/ranks/rankReports.ts
@@ -1,34 +1,37 @@
-/** What the reports of all ranks of a group say together. */
+/** Conclusions from the combined reports of all ranks of a group. */
 
 import type {RankReport} from '../ports/rankPort';
 
-/** Versions whose pass is sure to begin, or has begun, on all ranks alike. */
-export type Released = ReadonlySet<number>;
+/** Versions that have become active, or are certain to, on all ranks. */
+export type ReleasedVersions = ReadonlySet<number>;
 
-/** Whether no switch is under way beside those that were let go. */
-export function isNothingPending(
+/** Whether no switch is under way other than released ones. */
+export function hasNoPendingSwitch(
   reports: readonly RankReport[],
-  released: Released
+  released: ReleasedVersions
 ): boolean {
   const isHeld = reports.some(({heldPass}) => heldPass !== undefined);
-  return !isHeld && !isArmedOtherwise(reports, released);
+  return !isHeld && !isAnyArmedForUnreleased(reports, released);
 }
 
-/** Pass before which the group waits, or at which some rank is to switch. */
+/**
+ * Pass before which the group is held, or else the pass for which a rank is
+ * armed with an unreleased version.
+ */
 export function pendingPass(
   reports: readonly RankReport[],
-  released: Released
+  released: ReleasedVersions
 ): number | undefined {
   const held = reports.find(({heldPass}) => heldPass !== undefined);
-  const armed = reports.find(report => isStray(report, released));
+  const armed = reports.find(report => isArmedForUnreleased(report, released));
   return held?.heldPass ?? armed?.armed?.pass;
 }
 
 /**
- * Version that every rank holds beside the map in use, or is armed for at that
- * pass; undefined when they differ. A version stands for one map.
+ * Version that every rank has prepared, or is armed for at that pass; undefined
+ * when they differ. A version identifies one map.
  */
-export function preparedByAll(
+export function commonPreparedVersion(
   reports: readonly RankReport[],
   pass: number
 ): number | undefined {
@@ -41,20 +44,23 @@
   return versions.size === 1 && version > 0 ? version : undefined;
 }
 
-/** Whether some rank is armed for a version that was not let go. */
-export function isArmedOtherwise(
+/** Whether some rank is armed for a version that was not released. */
+export function isAnyArmedForUnreleased(
   reports: readonly RankReport[],
-  released: Released
+  released: ReleasedVersions
 ): boolean {
-  return reports.some(report => isStray(report, released));
+  return reports.some(report => isArmedForUnreleased(report, released));
 }
 
-function isStray({armed}: RankReport, released: Released): boolean {
+function isArmedForUnreleased(
+  {armed}: RankReport,
+  released: ReleasedVersions
+): boolean {
   return armed !== undefined && !released.has(armed.version);
 }
 
 /** Whether every rank uses the map of that version. */
-export function isMapOfAll(
+export function isVersionUsedByAll(
   reports: readonly RankReport[],
   version: number
 ): boolean {
--- a/src/ranks/rankSwitch.ts
+++ b/src/ranks/rankSwitch.ts
@@ -1,17 +1,19 @@
 /**
- * Takes a group of ranks from one expert map to the next, without a pass in
- * which two ranks have different maps.
+ * Switches a group of ranks from one expert map to the next, without a pass in
+ * which two ranks use different maps.
  *
- * Orders may be lost, and carried out seconds later after newer ones. What
- * makes the switch safe whatever comes late:
+ * An order without a response may be lost, or be carried out seconds later,
+ * after newer orders. The protocol is safe in both cases:
  * - The map is copied to all ranks first, under a version never used before.
- * - One rank holds the group before pass S. No arm order is sent before that
- *   is confirmed, so pass S cannot begin while only some ranks are armed.
- * - `go` is given once every rank has confirmed that it is armed for S. An arm
- *   or hold that comes later finds pass S begun, and is refused.
- * - When an arm fails, every rank is disarmed, and a rank that may still get a
- *   late arm is given a newer copy, so that the old version is not there to be
- *   armed any more. Only then is the group let go, on the old map.
+ * - One rank then holds the group before pass S. No arm order is sent before
+ *   the hold is confirmed, so pass S cannot begin while only some ranks are
+ *   armed.
+ * - `go` is sent once every rank has confirmed that it is armed for S. An arm
+ *   or hold order that arrives later finds that pass S has begun, and is
+ *   refused.
+ * - When arming fails, every rank is disarmed. A rank that may still receive a
+ *   late arm order also gets a newer copy, which replaces the version that the
+ *   late order names. Only then does the group continue, with the old map.
  */
 
 import {unreachable} from '../core/errors';
@@ -21,72 +23,88 @@
   RankOrder,
   RankReport,
 } from '../ports/rankPort';
-import {clearingOrders, isCleared, noteClearing} from './clearing';
-import {LastSwitch} from './lastSwitch';
+import {clearingOrders, isCleared, noteClearingAnswer} from './clearing';
+import {ReleasedSwitches} from './lastSwitch';
 import {PassClock} from './passClock';
 import {
-  isArmedOtherwise,
-  isMapOfAll,
-  isNothingPending,
+  commonPreparedVersion,
+  hasNoPendingSwitch,
+  isAnyArmedForUnreleased,
+  isVersionUsedByAll,
   pendingPass,
-  preparedByAll,
 } from './rankReports';
 import type {
+  OutgoingOrder,
   PhaseOf,
   RankView,
-  SentOrder,
   SwitchEvent,
   SwitchPhase,
 } from './switchPhase';
-import {CLOCK_RANK, RankViews, heldAfterAnswer} from './rankViews';
-
-/** Copies of a few experts take about a second; late orders up to twelve. */
-const PREPARE_LIMIT_MS = 6_000;
-/** The group stands still from pass S on, so arming is given up early. */
-const ARM_LIMIT_MS = 900;
-/** The same for finishing an earlier leader's switch; it can still be taken back. */
-const COMPLETE_LIMIT_MS = 300;
-/** Holds that came after their pass, before the switch is given up. */
-const HOLD_TRIES = 12;
+import {HOLD_RANK, RankViews, findCurrentHold} from './rankViews';
+
+/**
+ * Timeout of copying. Copies of a few experts take about one second; a late
+ * order is carried out after up to twelve.
+ */
+const PREPARE_TIMEOUT_MS = 6_000;
+/**
+ * Timeout of arming. Short, because the group is held before pass S meanwhile.
+ */
+const ARM_TIMEOUT_MS = 900;
+/**
+ * Timeout of arming when completing an earlier leader's switch. The switch can
+ * still be rolled back afterwards.
+ */
+const COMPLETE_TIMEOUT_MS = 300;
+/**
+ * Number of holds refused because their pass had already begun after which the
+ * switch is aborted.
+ */
+const MAX_HOLD_ATTEMPTS = 12;
 /**
- * Copies may take a little longer than told. An arm that comes too early is
- * refused and sent again, while the group stands still.
+ * Copies may take slightly longer than the profile states. An arm order that
+ * arrives before the copy is complete is refused and sent again, and the group
+ * is held meanwhile.
  */
-const COPY_MARGIN = 1.1;
-const COPY_MARGIN_MS = 15;
+const COPY_TIME_FACTOR = 1.1;
+const COPY_TIME_MARGIN_MS = 15;
 /**
- * Passes left for arming where orders get lost: the group would else stand
- * still before pass S until the last rank has answered.
+ * Further passes between the hold order and pass S when orders get lost, as
+ * time for arming. Without them the group would be held before pass S until the
+ * last rank has responded.
  */
-const SPARE_PASSES = 3;
-/** The switch of one epoch of one group. */
-export class RankSwitch {
+const LOSSY_LEAD_PASSES = 3;
+
+/** State machine for the map switches of one group during one epoch. */
+export class GroupMapSwitch {
   private phase: SwitchPhase = {kind: 'inspecting'};
-  private sinceMs: number;
-  /** Fenced off by a newer leader: nothing more is ordered here. */
+  private phaseBeganMs: number;
+  /** Whether a rank knows a newer leader; no more orders are sent then. */
   isFenced = false;
   private readonly ranks: RankViews;
-  private inForce: MapLists;
+  private activeLists: MapLists;
   private nextVersion: number;
-  private clearVersion = 0;
-  private listsKnown = true;
+  private replacementVersion = 0;
+  private areListsKnown = true;
   private copyMs = 0;
-  private readonly last = new LastSwitch();
-  /** Whether an order of the present switch got no answer. */
-  private isLossy = false;
-  private readonly clock = new PassClock();
+  private readonly released = new ReleasedSwitches();
+  /** Whether a copy order of the current switch got no response. */
+  private hasUnknownOutcome = false;
+  private readonly passClock = new PassClock();
 
   constructor(
     ranks: number,
-    /** Map in use, and its version. */
+    /** Map in use; `activeVersion` is its version. */
     lists: MapLists,
-    private inForceVersion: number,
-    /** Above every version used in earlier lives and by earlier leaders. */
+    private activeVersion: number,
+    /**
+     * Higher than every version used in earlier epochs and by earlier leaders.
+     */
     firstVersion: number,
     private nowMs: number
   ) {
-    this.sinceMs = nowMs;
-    this.inForce = lists;
+    this.phaseBeganMs = nowMs;
+    this.activeLists = lists;
     this.nextVersion = firstVersion;
     this.ranks = new RankViews(ranks);
   }
@@ -95,81 +113,89 @@
     return this.phase;
   }
 
-  /** The map that all ranks use. */
+  /** Map that all ranks use. */
   get lists(): MapLists {
-    return this.inForce;
+    return this.activeLists;
   }
 
-  /** Whether `lists` is what the ranks use; they are to be read anew if not. */
+  /**
+   * Whether the ranks use `lists`. If not, the map has to be read from them
+   * again.
+   */
   get knowsLists(): boolean {
-    return this.listsKnown;
+    return this.areListsKnown;
   }
 
   /**
-   * Ranks whose reports matter now; each report is paid for. All ranks step
-   * together, so that one tells for all how far the group is; the others'
-   * answers to orders say the rest, sooner than reports.
+   * Ranks whose reports are needed now; each report costs a call. All ranks run
+   * in lock-step, so one of them shows the current pass of the group. For the
+   * others, responses to orders show the state sooner than reports.
    */
   ranksToReport(nowMs: number): readonly number[] {
-    return this.ranks.toReport(this.phase, this.last.isDue(nowMs));
+    return this.ranks.ranksToReport(this.phase, this.released.isDue(nowMs));
   }
 
   /**
-   * Whether a switch may begin. A rank that is armed takes no copy orders, and
+   * Whether a switch may begin. A rank that is armed refuses copy orders, and
    * stays armed until the pass of the last switch begins.
    */
   isReady(nowMs: number): boolean {
-    return this.phase.kind === 'idle' && this.last.isDue(nowMs);
+    return this.phase.kind === 'idle' && this.released.isDue(nowMs);
   }
 
-  /** Times that the work of each rank takes as long as usual. */
+  /** Slowdown factor of each rank; 1 for normal speed or without a report. */
   get slowness(): readonly number[] {
     return this.ranks.views.map(({report}) => report?.slowness ?? 1);
   }
 
-  /** Above every version used here; those that were given up count, too. */
+  /**
+   * Higher than every version used here, including those of aborted switches.
+   */
   get unusedVersion(): number {
     return this.nextVersion;
   }
 
   /**
-   * Gives up a switch that nobody holds or is armed for yet, because another
-   * map is wanted by now; its version is never used.
+   * Aborts a switch that is still copying, because another map is needed by
+   * now. No rank is held or armed for its version, which is never used again.
    */
-  drop(nowMs: number): void {
+  abortPreparing(nowMs: number): void {
     if (this.phase.kind !== 'preparing') return;
     this.nowMs = nowMs;
     this.enter({kind: 'idle'});
   }
 
-  /** Length of a pass as streams show it, sooner than reports; 0 unknown. */
-  notePace(paceMs: number): void {
-    this.clock.notePace(paceMs);
+  /**
+   * Notes the pass duration observed in streams, which is known sooner than
+   * from reports; 0 when unknown.
+   */
+  noteStreamPassMs(passMs: number): void {
+    this.passClock.noteStreamPassMs(passMs);
   }
 
-  /** Begins a switch; only when ready. */
+  /** Begins a switch; does nothing unless `isReady`. */
   begin(
     lists: MapLists,
-    /** Time in which the slowest rank copies what is new to it. */
+    /** Time that the rank with the most new experts needs to copy them. */
     copyMs: number,
     nowMs: number
-  ): readonly SentOrder[] {
+  ): readonly OutgoingOrder[] {
     if (!this.isReady(nowMs)) return [];
     this.nowMs = nowMs;
-    this.isLossy = false;
-    this.copyMs = copyMs * COPY_MARGIN + COPY_MARGIN_MS;
+    this.hasUnknownOutcome = false;
+    this.copyMs = copyMs * COPY_TIME_FACTOR + COPY_TIME_MARGIN_MS;
     this.enter({kind: 'preparing', version: this.nextVersion++, lists});
     return this.advance();
   }
 
-  /** Takes in what happened; returns the orders that follow. */
-  step(event: SwitchEvent, nowMs: number): readonly SentOrder[] {
+  /** Handles an event; returns the orders to send. */
+  step(event: SwitchEvent, nowMs: number): readonly OutgoingOrder[] {
     this.nowMs = nowMs;
     switch (event.kind) {
       case 'tick':
         break;
       case 'report':
-        this.onReport(event.rank, event.report, event.askedAtMs);
+        this.onReport(event.rank, event.report, event.requestedAtMs);
         break;
       case 'answer':
         this.onAnswer(event.rank, event.order, event.answer);
@@ -182,23 +208,23 @@
 
   private enter(phase: SwitchPhase): void {
     this.phase = phase;
-    this.sinceMs = this.nowMs;
-    this.ranks.beginPhase();
+    this.phaseBeganMs = this.nowMs;
+    this.ranks.resetForPhase();
   }
 
-  private onReport(rank: number, report: RankReport, askedAtMs: number): void {
-    if (!this.ranks.noteReport(rank, report, askedAtMs)) return;
-    this.clock.note(report.pass, askedAtMs);
-    this.last.noteReport(report);
+  private onReport(rank: number, report: RankReport, queryAtMs: number): void {
+    if (!this.ranks.noteReport(rank, report, queryAtMs)) return;
+    this.passClock.noteReport(report.pass, queryAtMs);
+    this.released.noteReport(report);
   }
 
   private onAnswer(rank: number, order: RankOrder, answer: OrderAnswer): void {
     const view = this.ranks.noteAnswer(rank, order, answer, this.nowMs);
     if (answer === 'fenced') this.isFenced = true;
-    else if (view !== undefined) this.useAnswer(view, order, answer);
+    else if (view !== undefined) this.applyAnswer(view, order, answer);
   }
 
-  private useAnswer(
+  private applyAnswer(
     view: RankView,
     order: RankOrder,
     answer: OrderAnswer
@@ -215,19 +241,21 @@
         return;
       case 'arming':
       case 'completing':
-        // Refused: its copy is not complete yet, and the group waits for it.
+        // A refusal means that the copy is not complete yet; the arm is sent
+        // again.
         if (order.kind === 'arm' && order.version === phase.version)
-          view.isDone ||= answer === 'done';
+          view.isConfirmed ||= answer === 'done';
         return;
       case 'seizing':
         if (order.kind === 'hold' && order.pass === phase.pass)
           this.onSeizeAnswer(phase, answer);
         return;
       case 'clearing':
-        noteClearing(view, order, answer);
+        noteClearingAnswer(view, order, answer);
         return;
       case 'releasing':
-        if (order.kind === 'go' && answer !== 'unknown') view.isDone = true;
+        if (order.kind === 'go' && answer !== 'unknown')
+          view.isConfirmed = true;
         return;
       case 'inspecting':
       case 'idle':
@@ -238,54 +266,55 @@
   }
 
   /**
-   * A version is refused the second time. Once no rank is armed any more, that
-   * says that an earlier order for it was taken, and its answer lost: the copy
-   * has begun by then. A rank that takes a copy order is not armed, so that the
-   * pass of the last switch has begun, for all ranks.
+   * A rank refuses a copy order while it is armed, and for a version that it
+   * already has. Once no rank is armed, a refusal after a lost response
+   * therefore proves that the earlier order was carried out and the copy has
+   * begun. A rank that accepts a copy order is not armed, so the pass of the
+   * last switch has begun on all ranks.
    */
   private onPrepareAnswer(view: RankView, answer: OrderAnswer): void {
     if (answer === 'unknown') {
       view.mayBePrepared = true;
-      this.isLossy = true;
+      this.hasUnknownOutcome = true;
     }
     if (answer === 'done') {
-      view.isDone = true;
-      this.last.noteBegun();
+      view.isConfirmed = true;
+      this.released.noteBegun();
     }
-    if (answer !== 'refused' || view.isDone) return;
-    // Still armed for the last switch, whose pass was expected to have begun.
-    if (!this.last.hasBegun) this.last.noteStillArmed();
-    else if (view.mayBePrepared) view.isDone = true;
-    // Nothing is held or armed yet: the version is simply never used.
+    if (answer !== 'refused' || view.isConfirmed) return;
+    // The rank is still armed: the last switch's pass is later than expected.
+    if (!this.released.hasBegun) this.released.noteStillArmed();
+    else if (view.mayBePrepared) view.isConfirmed = true;
+    // No rank is held or armed yet, so the version is just never used.
     else this.enter({kind: 'idle'});
   }
 
   private onHoldAnswer(phase: PhaseOf<'holding'>, answer: OrderAnswer): void {
-    const {version, lists, pass, tries} = phase;
+    const {version, lists, pass, attempts} = phase;
     if (answer === 'done') this.enter({kind: 'arming', version, lists, pass});
     if (answer !== 'refused') return;
-    if (tries >= HOLD_TRIES) this.enter({kind: 'idle'});
-    else this.enter(this.holdAhead(version, lists, tries + 1));
+    if (attempts >= MAX_HOLD_ATTEMPTS) this.enter({kind: 'idle'});
+    else this.enter(this.nextHold(version, lists, attempts + 1));
   }
 
-  private giveUp(pass: number): void {
-    this.clearVersion = this.nextVersion++;
+  private rollBack(pass: number): void {
+    this.replacementVersion = this.nextVersion++;
     this.enter({kind: 'clearing', pass});
   }
 
-  /** What the present phase calls for now. */
-  private advance(): readonly SentOrder[] {
+  /** Moves on to the next phase when possible; returns the orders to send. */
+  private advance(): readonly OutgoingOrder[] {
     const {phase} = this;
     switch (phase.kind) {
       case 'inspecting':
         return this.inspect();
       case 'idle':
-        return this.handleStray();
+        return this.handleLateOrders();
       case 'preparing':
         return this.prepare(phase);
       case 'holding':
       case 'seizing':
-        return this.toClockRank({kind: 'hold', pass: phase.pass});
+        return this.orderHoldRank({kind: 'hold', pass: phase.pass});
       case 'arming':
         return this.arm(phase);
       case 'completing':
@@ -299,30 +328,35 @@
     }
   }
 
-  /** What an earlier leader left behind is finished or taken back first. */
-  private inspect(): readonly SentOrder[] {
-    if (!this.ranks.allReportedSince(this.sinceMs)) return [];
+  /**
+   * Detects a switch of an earlier leader, to complete it or roll it back
+   * first.
+   */
+  private inspect(): readonly OutgoingOrder[] {
+    if (!this.ranks.areAllReportedSince(this.phaseBeganMs)) return [];
     const reports = this.ranks.reports();
-    if (isNothingPending(reports, this.last.released)) {
-      this.listsKnown = isMapOfAll(reports, this.inForceVersion);
+    if (hasNoPendingSwitch(reports, this.released.versions)) {
+      this.areListsKnown = isVersionUsedByAll(reports, this.activeVersion);
       this.enter({kind: 'idle'});
       return [];
     }
-    return this.takeBack(true);
+    return this.seize(true);
   }
 
   /**
-   * Takes back whatever an earlier leader began. Its orders may still arrive,
-   * a go among them, and reports are old: a rank that is disarmed while the
-   * others run into pass S would be alone with the old map. So the hold comes
-   * first. Where the rank takes it, S has not begun, and only this leader can
-   * let it begin; where it refuses, S has begun, and there is nothing to undo.
+   * Takes over the pending switch of an earlier leader. Its orders may still
+   * arrive, including a `go`, and reports are delayed: if one rank were
+   * disarmed while the others begin pass S, it alone would use the old map.
+   * Therefore the hold is repeated first. If the rank accepts it, S has not
+   * begun, and only this leader can let it begin. If the rank refuses it, S has
+   * begun, and there is nothing to roll back.
    */
-  private takeBack(mayComplete: boolean): readonly SentOrder[] {
-    const pass = pendingPass(this.ranks.reports(), this.last.released);
+  private seize(mayComplete: boolean): readonly OutgoingOrder[] {
+    const pass = pendingPass(this.ranks.reports(), this.released.versions);
     if (pass === undefined) return [];
-    // Its go may come late and must not fit a later hold of this leader.
-    this.clock.exclude(pass);
+    // A late `go` of the earlier leader must not match a later hold of this
+    // one.
+    this.passClock.excludeUpTo(pass);
     this.enter({kind: 'seizing', pass, mayComplete});
     return this.advance();
   }
@@ -335,143 +369,147 @@
     if (answer !== 'done') return;
     for (const view of this.ranks.views) view.mayBeArmedLate = true;
     const version = mayComplete
-      ? preparedByAll(this.ranks.reports(), pass)
+      ? commonPreparedVersion(this.ranks.reports(), pass)
       : undefined;
-    if (version === undefined) this.giveUp(pass);
+    if (version === undefined) this.rollBack(pass);
     else this.enter({kind: 'completing', version, pass});
   }
 
   /**
-   * The group stands before the held pass, and every rank has the copies of one
-   * version. Arming it takes one round trip; taking it back takes seconds. Late
-   * arm orders of the earlier leader ask for the same.
+   * Completes an earlier leader's switch. The group is held, and every rank has
+   * the copies of the same version. Arming takes one round trip, while a
+   * rollback takes seconds. Late arm orders of the earlier leader are for the
+   * same version and pass, and do no harm.
    */
-  private complete(phase: PhaseOf<'completing'>): readonly SentOrder[] {
+  private complete(phase: PhaseOf<'completing'>): readonly OutgoingOrder[] {
     const {version, pass} = phase;
-    if (this.ranks.areAllDone) {
-      // What the version holds is read from the ranks.
-      this.listsKnown = false;
+    if (this.ranks.areAllConfirmed) {
+      // Only the version is known; its lists are then read from the ranks.
+      this.areListsKnown = false;
       for (const view of this.ranks.views) view.mayBeArmedLate = false;
-      const lists = this.inForce;
-      this.enter({kind: 'releasing', pass, then: 'switched', version, lists});
+      const lists = this.activeLists;
+      this.enter({kind: 'releasing', pass, map: 'new', version, lists});
       return this.advance();
     }
-    return this.armWithin(COMPLETE_LIMIT_MS, version, pass);
+    return this.armOrRollBack(COMPLETE_TIMEOUT_MS, version, pass);
   }
 
   /**
-   * A hold that was carried out late, after its switch had ended, would stop
-   * the group for good. It is let go only if no rank is armed, and none can be
-   * by an earlier leader; else everything is taken back first.
+   * Releases a hold that was carried out late, after the end of its switch; it
+   * would stop the group forever. The hold is released at once only if no rank
+   * is armed and every rank rejects orders of earlier leaders. Otherwise the
+   * pending switch is taken over first.
    */
-  private handleStray(): readonly SentOrder[] {
+  private handleLateOrders(): readonly OutgoingOrder[] {
     const reports = this.ranks.reports();
-    if (isArmedOtherwise(reports, this.last.released))
-      return this.takeBack(false);
-    const held = heldAfterAnswer(this.ranks.views);
+    if (isAnyArmedForUnreleased(reports, this.released.versions))
+      return this.seize(false);
+    const held = findCurrentHold(this.ranks.views);
     if (held === undefined) return [];
-    if (!this.ranks.views.every(({isFenced}) => isFenced))
-      return this.takeBack(false);
+    if (!this.ranks.views.every(({rejectsOlderLeaders}) => rejectsOlderLeaders))
+      return this.seize(false);
     const {rank, heldPass} = held;
-    this.clock.exclude(heldPass);
+    this.passClock.excludeUpTo(heldPass);
     return this.ranks.order(this.nowMs, rank, {kind: 'go', pass: heldPass});
   }
 
-  private prepare(phase: PhaseOf<'preparing'>): readonly SentOrder[] {
+  private prepare(phase: PhaseOf<'preparing'>): readonly OutgoingOrder[] {
     const {version, lists} = phase;
-    if (this.ranks.areCopied(version, this.nowMs - this.copyMs)) {
-      this.enter(this.holdAhead(version, lists, 1));
+    if (this.ranks.areCopiesComplete(version, this.nowMs - this.copyMs)) {
+      this.enter(this.nextHold(version, lists, 1));
       return this.advance();
     }
-    if (this.ageMs > PREPARE_LIMIT_MS) {
+    if (this.ageMs > PREPARE_TIMEOUT_MS) {
       this.enter({kind: 'idle'});
       return [];
     }
-    const stray = this.handleStray();
-    if (this.phase !== phase || !this.last.isDue(this.nowMs)) return stray;
-    const orders = this.ranks.toAll(
+    const releaseOrders = this.handleLateOrders();
+    if (this.phase !== phase || !this.released.isDue(this.nowMs))
+      return releaseOrders;
+    const orders = this.ranks.orderWhere(
       this.nowMs,
-      view => !view.isDone && view.report?.preparedVersion !== version,
+      view => !view.isConfirmed && view.report?.preparedVersion !== version,
       {kind: 'prepare', version, lists}
     );
-    return [...stray, ...orders];
+    return [...releaseOrders, ...orders];
   }
 
   /**
-   * The pass that begins next, as far as reports tell. A hold that comes too
-   * late is refused within a round trip and tried for the pass after.
+   * Plans a hold before the pass that is estimated to begin next. A hold that
+   * arrives too late is refused within one round trip, and repeated for a later
+   * pass.
    */
-  private holdAhead(
+  private nextHold(
     version: number,
     lists: MapLists,
-    tries: number
+    attempts: number
   ): SwitchPhase {
-    const spare = this.isLossy ? SPARE_PASSES : 0;
-    const pass = this.clock.takeNext(this.nowMs, spare);
-    return {kind: 'holding', version, lists, pass, tries};
+    const leadPasses = this.hasUnknownOutcome ? LOSSY_LEAD_PASSES : 0;
+    const pass = this.passClock.reservePass(this.nowMs, leadPasses);
+    return {kind: 'holding', version, lists, pass, attempts};
   }
 
-  private arm(phase: PhaseOf<'arming'>): readonly SentOrder[] {
+  private arm(phase: PhaseOf<'arming'>): readonly OutgoingOrder[] {
     const {version, lists, pass} = phase;
-    if (this.ranks.areAllDone) {
-      this.enter({kind: 'releasing', pass, then: 'switched', version, lists});
+    if (this.ranks.areAllConfirmed) {
+      this.enter({kind: 'releasing', pass, map: 'new', version, lists});
       return this.advance();
     }
-    return this.armWithin(ARM_LIMIT_MS, version, pass);
+    return this.armOrRollBack(ARM_TIMEOUT_MS, version, pass);
   }
 
-  private armWithin(
-    limitMs: number,
+  private armOrRollBack(
+    timeoutMs: number,
     version: number,
     pass: number
-  ): readonly SentOrder[] {
-    if (this.ageMs <= limitMs)
+  ): readonly OutgoingOrder[] {
+    if (this.ageMs <= timeoutMs)
       return this.ranks.armAll(this.nowMs, version, pass);
-    this.giveUp(pass);
+    this.rollBack(pass);
     return this.advance();
   }
 
-  private clear(phase: PhaseOf<'clearing'>): readonly SentOrder[] {
-    const isClear = this.ranks.views.every(view =>
-      isCleared(view, this.clearVersion)
+  private clear(phase: PhaseOf<'clearing'>): readonly OutgoingOrder[] {
+    const areAllCleared = this.ranks.views.every(view =>
+      isCleared(view, this.replacementVersion)
     );
-    if (isClear) {
+    if (areAllCleared) {
       for (const view of this.ranks.views) view.mayBeArmedLate = false;
       const {pass} = phase;
-      const lists = this.inForce;
-      this.enter({kind: 'releasing', pass, then: 'idle', version: 0, lists});
+      const lists = this.activeLists;
+      this.enter({kind: 'releasing', pass, map: 'old', version: 0, lists});
       return this.advance();
     }
-    const {ranks, nowMs, clearVersion, inForce} = this;
-    return clearingOrders(ranks, nowMs, clearVersion, inForce);
+    const {ranks, nowMs, replacementVersion, activeLists} = this;
+    return clearingOrders(ranks, nowMs, replacementVersion, activeLists);
   }
 
-  private release(phase: PhaseOf<'releasing'>): readonly SentOrder[] {
-    if (this.ranks.views[CLOCK_RANK]?.isDone !== true)
-      return this.toClockRank({kind: 'go', pass: phase.pass});
-    if (phase.then === 'switched') this.noteSwitched(phase);
+  private release(phase: PhaseOf<'releasing'>): readonly OutgoingOrder[] {
+    if (this.ranks.views[HOLD_RANK]?.isConfirmed !== true)
+      return this.orderHoldRank({kind: 'go', pass: phase.pass});
+    if (phase.map === 'new') this.noteSwitched(phase);
     this.enter({kind: 'idle'});
     return this.advance();
   }
 
   /**
-   * Every rank has confirmed that it is armed, and pass S is let go: the map is
-   * in force with S, whatever comes late. Reports would show it 200 ms later;
-   * not waiting for them brings the second switch after a shift of demand
-   * 0.4 s sooner.
+   * Notes that the new map is active from pass S on: every rank has confirmed
+   * that it is armed, and the hold is released, so no late order matters.
+   * Reports would show it 200 ms later; without waiting for them, the second
+   * switch after a demand shift comes 0.4 s sooner.
    */
   private noteSwitched({version, lists, pass}: PhaseOf<'releasing'>): void {
-    this.inForce = lists;
-    this.inForceVersion = version;
-    const expectedAtMs = this.clock.beginOf(pass, this.nowMs);
-    this.last.noteReleased(version, pass, expectedAtMs);
+    this.activeLists = lists;
+    this.activeVersion = version;
+    const expectedAtMs = this.passClock.expectedBeginMs(pass, this.nowMs);
+    this.released.noteReleased(version, pass, expectedAtMs);
   }
 
-  private toClockRank(order: RankOrder): readonly SentOrder[] {
-    return this.ranks.order(this.nowMs, CLOCK_RANK, order);
+  private orderHoldRank(order: RankOrder): readonly OutgoingOrder[] {
+    return this.ranks.order(this.nowMs, HOLD_RANK, order);
   }
 
   private get ageMs(): number {
-    return this.nowMs - this.sinceMs;
+    return this.nowMs - this.phaseBeganMs;
   }
 }
--- a/src/ranks/rankViews.ts
+++ b/src/ranks/rankViews.ts
@@ -1,30 +1,33 @@
-/** What a switch knows of each rank, and the orders on their way to them. */
+/** Known state of each rank of a group, and the orders in flight. */
 
 import type {OrderAnswer, RankOrder, RankReport} from '../ports/rankPort';
-import type {RankView, SentOrder, SwitchPhase} from './switchPhase';
-import {isReportDue, unknownRank} from './switchPhase';
+import type {OutgoingOrder, RankView, SwitchPhase} from './switchPhase';
+import {isReportNeeded, newRankView} from './switchPhase';
 
-/** Holds are placed here, and the passes of the group are counted here. */
-export const CLOCK_RANK = 0;
+/**
+ * Rank that is held during a switch, and whose reports count the passes. The
+ * ranks run in lock-step, so holding one of them holds the group.
+ */
+export const HOLD_RANK = 0;
 
 /**
- * Rest of a rank after an order that it did not take. Most of the time its
- * state has to change first, and each order is paid for.
+ * Backoff after a refused order. Usually the state of the rank has to change
+ * before a retry can succeed, and each order costs a call.
  */
-const REST_MS = 60;
+const REFUSED_BACKOFF_MS = 60;
 
-/** All ranks of one group. */
+/** Views of all ranks of one group. */
 export class RankViews {
   readonly views: RankView[];
 
   constructor(ranks: number) {
-    this.views = Array.from({length: ranks}, unknownRank);
+    this.views = Array.from({length: ranks}, newRankView);
   }
 
-  /** Forgets what the last phase had confirmed. */
-  beginPhase(): void {
+  /** Resets the confirmations of the last phase. */
+  resetForPhase(): void {
     for (const view of this.views) {
-      view.isDone = false;
+      view.isConfirmed = false;
       view.isDisarmed = false;
       view.mayBePrepared = false;
     }
@@ -34,36 +37,41 @@
     return this.views.flatMap(({report}) => report ?? []);
   }
 
-  /** Ranks whose reports could move the switch on. */
-  toReport(phase: SwitchPhase, isLastInForce: boolean): readonly number[] {
+  /** Ranks whose reports could advance the switch. */
+  ranksToReport(
+    phase: SwitchPhase,
+    isLastSwitchDue: boolean
+  ): readonly number[] {
     const isDue = (view: RankView, rank: number) =>
-      rank === CLOCK_RANK || isReportDue(phase, view, isLastInForce);
+      rank === HOLD_RANK || isReportNeeded(phase, view, isLastSwitchDue);
     return this.views.flatMap((view, rank) => (isDue(view, rank) ? rank : []));
   }
 
-  /** Whether all have confirmed the present phase's order. */
-  get areAllDone(): boolean {
-    return this.views.every(({isDone}) => isDone);
+  /** Whether all ranks have confirmed the order of the current phase. */
+  get areAllConfirmed(): boolean {
+    return this.views.every(({isConfirmed}) => isConfirmed);
   }
 
   /**
-   * Whether all copies that were begun by then are complete. Reports show a copy
-   * late; the time that it takes is known.
+   * Whether all ranks have completed the copies of the version. Reports show
+   * that late, but the duration is known: copies begun by `startedByMs` are
+   * complete.
    */
-  areCopied(version: number, begunByMs: number): boolean {
-    return this.views.every(view => isCopied(view, version, begunByMs));
+  areCopiesComplete(version: number, startedByMs: number): boolean {
+    return this.views.every(view => isCopyComplete(view, version, startedByMs));
   }
 
-  /** Notes a report; false when a later one is known. */
-  noteReport(rank: number, report: RankReport, askedAtMs: number): boolean {
+  /** Notes a report; returns false when a later one is known. */
+  noteReport(rank: number, report: RankReport, requestedAtMs: number): boolean {
     const view = this.views[rank];
-    if (view === undefined || askedAtMs < view.reportAtMs) return false;
+    if (view === undefined || requestedAtMs < view.reportRequestedAtMs)
+      return false;
     view.report = report;
-    view.reportAtMs = askedAtMs;
+    view.reportRequestedAtMs = requestedAtMs;
     return true;
   }
 
-  /** Notes what an answer says whatever the phase. */
+  /** Notes the phase-independent effects of a response to an order. */
   noteAnswer(
     rank: number,
     order: RankOrder,
@@ -72,61 +80,80 @@
   ): RankView | undefined {
     const view = this.views[rank];
     if (view === undefined) return undefined;
-    view.isBusy = false;
-    view.answeredAtMs = nowMs;
-    if (answer === 'done') view.isFenced = true;
-    // A hold that came too late is tried at once, for a later pass.
+    view.hasOrderInFlight = false;
+    view.respondedAtMs = nowMs;
+    if (answer === 'done') view.rejectsOlderLeaders = true;
+    // A hold that came too late is repeated at once, for a later pass.
     if (answer === 'refused' && order.kind !== 'hold')
-      view.restUntilMs = nowMs + REST_MS;
+      view.backoffUntilMs = nowMs + REFUSED_BACKOFF_MS;
     if (answer === 'unknown' && order.kind === 'arm')
       view.mayBeArmedLate = true;
     return view;
   }
 
-  /** Arms all ranks that have not confirmed it. */
-  armAll(nowMs: number, version: number, pass: number): readonly SentOrder[] {
+  /** Arms all ranks that have not confirmed it yet. */
+  armAll(
+    nowMs: number,
+    version: number,
+    pass: number
+  ): readonly OutgoingOrder[] {
     const order = {kind: 'arm', version, pass} as const;
-    return this.toAll(nowMs, ({isDone}) => !isDone, order);
+    return this.orderWhere(nowMs, ({isConfirmed}) => !isConfirmed, order);
   }
 
-  allReportedSince(ms: number): boolean {
-    return this.views.every(({reportAtMs}) => reportAtMs >= ms);
+  areAllReportedSince(sinceMs: number): boolean {
+    return this.views.every(
+      ({reportRequestedAtMs}) => reportRequestedAtMs >= sinceMs
+    );
   }
 
-  /** The same order to each rank that wants it. */
-  toAll(
+  /** Sends the same order to each rank for which `needsOrder` is true. */
+  orderWhere(
     nowMs: number,
-    wants: (view: RankView) => boolean,
+    needsOrder: (view: RankView) => boolean,
     order: RankOrder
-  ): readonly SentOrder[] {
+  ): readonly OutgoingOrder[] {
     return this.views.flatMap((view, rank) =>
-      wants(view) ? this.order(nowMs, rank, order) : []
+      needsOrder(view) ? this.order(nowMs, rank, order) : []
     );
   }
 
-  /** One order to a rank at a time. */
-  order(nowMs: number, rank: number, order: RankOrder): readonly SentOrder[] {
+  /** Orders a rank, unless it has an order in flight or is in backoff. */
+  order(
+    nowMs: number,
+    rank: number,
+    order: RankOrder
+  ): readonly OutgoingOrder[] {
     const view = this.views[rank];
-    if (view === undefined || view.isBusy) return [];
-    if (nowMs < view.restUntilMs) return [];
-    view.isBusy = true;
+    if (view === undefined || view.hasOrderInFlight) return [];
+    if (nowMs < view.backoffUntilMs) return [];
+    view.hasOrderInFlight = true;
     return [{rank, order}];
   }
 }
 
-/** A rank that a report shows to hold, taken after its last order's answer. */
-export function heldAfterAnswer(
+/**
+ * Finds the first rank that reports a hold; undefined if its report was
+ * requested before the response to its last order, and so may be outdated.
+ */
+export function findCurrentHold(
   views: readonly RankView[]
 ): {readonly rank: number; readonly heldPass: number} | undefined {
   const rank = views.findIndex(({report}) => report?.heldPass);
   const view = views[rank];
   const heldPass = view?.report?.heldPass;
   if (view === undefined || heldPass === undefined) return undefined;
-  return view.answeredAtMs > view.reportAtMs ? undefined : {rank, heldPass};
+  return view.respondedAtMs > view.reportRequestedAtMs
+    ? undefined
+    : {rank, heldPass};
 }
 
-/** Whether the copies that a rank began by then, or reports, are complete. */
-function isCopied(view: RankView, version: number, begunByMs: number): boolean {
+/** Whether the rank reports a complete copy, or began it by `startedByMs`. */
+function isCopyComplete(
+  view: RankView,
+  version: number,
+  startedByMs: number
+): boolean {
   if (view.report?.preparedVersion === version) return true;
-  return view.isDone && view.answeredAtMs <= begunByMs;
+  return view.isConfirmed && view.respondedAtMs <= startedByMs;
 }
--- a/src/ranks/switchPhase.ts
+++ b/src/ranks/switchPhase.ts
@@ -1,4 +1,4 @@
-/** Phases of a switch of expert maps, what moves it, and what it orders. */
+/** Phases, events and orders of a switch of expert maps. */
 
 import {unreachable} from '../core/errors';
 import type {
@@ -8,48 +8,52 @@
   RankReport,
 } from '../ports/rankPort';
 
-/** Where a switch stands. */
+/** Phase of a switch. */
 export type SwitchPhase =
+  /** Reads reports to detect a pending switch of an earlier leader. */
   | {readonly kind: 'inspecting'}
   | {readonly kind: 'idle'}
+  /** Copies the map to all ranks. */
   | {
       readonly kind: 'preparing';
       readonly version: number;
       readonly lists: MapLists;
     }
+  /** Holds the group before the pass. */
   | {
       readonly kind: 'holding';
       readonly version: number;
       readonly lists: MapLists;
       readonly pass: number;
-      readonly tries: number;
+      readonly attempts: number;
     }
+  /** Arms all ranks to use the map from the pass on. */
   | {
       readonly kind: 'arming';
       readonly version: number;
       readonly lists: MapLists;
       readonly pass: number;
     }
-  /** Makes a hold its own that an earlier leader may have let go already. */
+  /** Takes over the hold of an earlier leader, which may have been released. */
   | {
       readonly kind: 'seizing';
       readonly pass: number;
-      /** Whether the switch of the earlier leader may be finished. */
+      /** Whether the earlier leader's switch may be completed. */
       readonly mayComplete: boolean;
     }
-  /** Finishes the switch of an earlier leader: all ranks hold its copies. */
+  /** Completes an earlier leader's switch; all ranks have its copies. */
   | {
       readonly kind: 'completing';
       readonly version: number;
       readonly pass: number;
     }
-  /** Disarms after an arm that failed. */
+  /** Disarms all ranks after arming failed. */
   | {readonly kind: 'clearing'; readonly pass: number}
-  /** Lets the group go, on the new map or on the old one. */
+  /** Lets the group continue, with the new map or the old one. */
   | {
       readonly kind: 'releasing';
       readonly pass: number;
-      readonly then: 'switched' | 'idle';
+      readonly map: 'new' | 'old';
       readonly version: number;
       readonly lists: MapLists;
     };
@@ -60,15 +64,15 @@
   {readonly kind: K}
 >;
 
-/** Something that happened. */
+/** Event that drives a switch. */
 export type SwitchEvent =
   | {readonly kind: 'tick'}
   | {
       readonly kind: 'report';
       readonly rank: number;
       readonly report: RankReport;
-      /** When it was asked for. */
-      readonly askedAtMs: number;
+      /** When the report was requested. */
+      readonly requestedAtMs: number;
     }
   | {
       readonly kind: 'answer';
@@ -77,52 +81,56 @@
       readonly answer: OrderAnswer;
     };
 
-/** An order to be sent now. */
-export interface SentOrder {
+/** An order to send now, and the index of the rank that it is for. */
+export interface OutgoingOrder {
   readonly rank: number;
   readonly order: RankOrder;
 }
 
-/** What a switch knows of one rank. */
+/** Known state of one rank. */
 export interface RankView {
   report?: RankReport;
-  reportAtMs: number;
-  /** Whether an order to it is on its way. */
-  isBusy: boolean;
-  /** Whether the present phase's order was confirmed. */
-  isDone: boolean;
-  /** Whether an arm order got no answer and may still come. */
+  reportRequestedAtMs: number;
+  hasOrderInFlight: boolean;
+  /** Whether the rank confirmed the order of the current phase. */
+  isConfirmed: boolean;
+  /** Whether an arm order got no response and may still be carried out. */
   mayBeArmedLate: boolean;
-  /** Whether a copy order got no answer, so that a refusal may mean it is there. */
+  /**
+   * Whether a copy order got no response. A later refusal may then mean that
+   * the rank already has the version.
+   */
   mayBePrepared: boolean;
-  /** Whether it took an order of ours: older leaders are refused since. */
-  isFenced: boolean;
-  /** While clearing. */
+  /**
+   * Whether it accepted an order of this leader, and so rejects older leaders.
+   */
+  rejectsOlderLeaders: boolean;
+  /** Whether it was disarmed; used in the `clearing` phase. */
   isDisarmed: boolean;
-  /** When the last order was answered. */
-  answeredAtMs: number;
-  /** Before this nothing is ordered again. */
-  restUntilMs: number;
+  /** When the response to the last order arrived. */
+  respondedAtMs: number;
+  /** No order is sent before this time. */
+  backoffUntilMs: number;
 }
 
-/** Whether a report could move the switch on. */
-export function isReportDue(
+/** Whether a report of the rank could advance the switch. */
+export function isReportNeeded(
   phase: SwitchPhase,
   view: RankView,
-  /** Whether the pass of the last switch has begun. */
-  isLastInForce: boolean
+  /** Whether the pass of the last switch has begun, or should have by now. */
+  isLastSwitchDue: boolean
 ): boolean {
   if (view.report === undefined) return true;
   switch (phase.kind) {
     case 'preparing':
-      return !view.isDone && view.report.preparedVersion !== phase.version;
+      return !view.isConfirmed && view.report.preparedVersion !== phase.version;
     case 'holding':
     case 'arming':
     case 'completing':
     case 'releasing':
       return false;
     case 'idle':
-      return isLastInForce;
+      return isLastSwitchDue;
     case 'inspecting':
     case 'seizing':
     case 'clearing':
@@ -132,17 +140,17 @@
   }
 }
 
-/** A rank of which nothing is known yet. */
-export function unknownRank(): RankView {
+/** View of a rank about which nothing is known yet. */
+export function newRankView(): RankView {
   return {
-    reportAtMs: -Infinity,
-    isBusy: false,
-    isDone: false,
+    reportRequestedAtMs: -Infinity,
+    hasOrderInFlight: false,
+    isConfirmed: false,
     mayBeArmedLate: false,
     mayBePrepared: false,
-    isFenced: false,
+    rejectsOlderLeaders: false,
     isDisarmed: false,
-    answeredAtMs: -Infinity,
-    restUntilMs: -Infinity,
+    respondedAtMs: -Infinity,
+    backoffUntilMs: -Infinity,
   };
 }
--- a/tests/expertDemand.spec.ts
+++ b/tests/expertDemand.spec.ts
@@ -3,13 +3,13 @@
 
 const EXPERTS = 20;
 
-/** Counts that grow by `choices` of a demand in which `top` leads. */
-function add(counts: readonly number[], top: number, choices: number) {
-  let total = 0;
-  for (let i = 0; i < EXPERTS; i++) total += 1 / (i + 1);
+/** Adds choices by a Zipf distribution in which `top` is the most popular. */
+function addChoices(counts: readonly number[], top: number, choices: number) {
+  let harmonicSum = 0;
+  for (let i = 0; i < EXPERTS; i++) harmonicSum += 1 / (i + 1);
   return counts.map((count, expert) => {
-    const place = (expert - top + EXPERTS) % EXPERTS;
-    return count + Math.round(choices / (place + 1) / total);
+    const popularityRank = (expert - top + EXPERTS) % EXPERTS;
+    return count + Math.round(choices / (popularityRank + 1) / harmonicSum);
   });
 }
 
@@ -26,15 +26,15 @@
   }
 
   choose(top: number, choices: number): void {
-    this.counts = add(this.counts, top, choices);
+    this.counts = addChoices(this.counts, top, choices);
   }
 
   begin(): void {
-    this.demand.begin([this.reading()]);
+    this.demand.beginWindows([this.reading()]);
   }
 
   note(isRecent = false) {
-    return this.demand.note([this.reading()], isRecent);
+    return this.demand.addReadings([this.reading()], isRecent);
   }
 
   private reading() {
@@ -42,13 +42,16 @@
     return {rankId, counts: {pass: 1, epoch: 1, counts}};
   }
 
+  /** Most popular expert. */
   get leader(): number {
     const list = this.demand.ofSet(0);
     return list.indexOf(Math.max(...list));
   }
 }
 
-/** Ranks with a common demand, and a part of their own that changes each time. */
+/**
+ * Ranks with a common demand, and a share of their own that changes each time.
+ */
 class SampleFixture {
   readonly demand = new ExpertDemand(1, EXPERTS);
   private readonly random = xorshift128plus(7);
@@ -56,18 +59,22 @@
 
   constructor(ranks: number) {
     this.counts = Array.from({length: ranks}, noChoices);
-    this.demand.begin(this.readings());
+    this.demand.beginWindows(this.readings());
   }
 
-  /** `moved` and `own` are parts of all choices. */
-  choose(moved: number, own: number) {
+  /** Both ratios are of all choices. */
+  choose(shiftedRatio: number, ownRatio: number) {
     this.counts = this.counts.map(counts => {
       const top = Math.abs(this.random.next()) % EXPERTS;
-      const common = add(counts, 3, 50_000 * (1 - own - moved));
-      const shifted = add(common, 13, 50_000 * moved);
-      return add(shifted, top, 50_000 * own);
+      const common = addChoices(
+        counts,
+        3,
+        50_000 * (1 - ownRatio - shiftedRatio)
+      );
+      const shifted = addChoices(common, 13, 50_000 * shiftedRatio);
+      return addChoices(shifted, top, 50_000 * ownRatio);
     });
-    return this.demand.note(this.readings(), false);
+    return this.demand.addReadings(this.readings(), false);
   }
 
   private readings() {
@@ -87,7 +94,7 @@
     expect(fixture.note()).toBe('shifted');
   });
 
-  it('should take two readings of one demand for the same', () => {
+  it('should report two readings of the same demand as unchanged', () => {
     const fixture = new DemandFixture();
     fixture.choose(3, 50_000);
     expect(fixture.note()).toBe('shifted');
@@ -95,10 +102,10 @@
     expect(fixture.note()).toBe('same');
   });
 
-  // A reading spans a shift: half of its choices are of the demand before. A
-  // plan for the mixture would spread experts that nobody wants any more, and
-  // the switch that follows it would pay for all copies once more.
-  it('should plan for nothing until a window holds the new demand alone', () => {
+  // A window spans a shift, so that about half of its choices are of the demand
+  // before. A plan for the mixture would replicate experts that are no longer
+  // in demand, and the next switch would have to make all copies again.
+  it('should not accept a shift until a window holds the new demand alone', () => {
     const fixture = new DemandFixture();
     fixture.choose(3, 50_000);
     fixture.note();
@@ -113,7 +120,7 @@
     expect(list[3]).toBeLessThan((list[13] ?? 0) / 5);
   });
 
-  it('should leave out what came before a window was begun', () => {
+  it('should ignore choices made before a window began', () => {
     const fixture = new DemandFixture();
     fixture.choose(3, 50_000);
     fixture.note();
@@ -125,18 +132,18 @@
     expect(list[3]).toBeLessThan((list[13] ?? 0) / 5);
   });
 
-  // The requests of one rank ask for few subjects at a time. Its counts alone
-  // would name the experts of those subjects as what all ranks want.
+  // The requests of one rank cover few subjects at a time. Its counts alone
+  // would show the experts of those subjects as the demand of all ranks.
   it('should add up the choices of the ranks of a sample', () => {
     const demand = new ExpertDemand(1, EXPERTS);
     const ranks = [2, 9, 16];
     const read = (choices: number) =>
       ranks.map((top, i) => {
-        const counts = add(noChoices(), top, choices);
+        const counts = addChoices(noChoices(), top, choices);
         return {rankId: `r${i}`, counts: {pass: 1, epoch: 1, counts}};
       });
-    demand.begin(read(0));
-    expect(demand.note(read(10_000), true)).toBe('shifted');
+    demand.beginWindows(read(0));
+    expect(demand.addReadings(read(10_000), true)).toBe('shifted');
     const list = demand.ofSet(0);
     const [first = 0, second = 0, third = 0] = ranks.map(top => list[top]);
     expect(Math.max(first, second, third)).toBeLessThan(
@@ -144,39 +151,40 @@
     );
   });
 
-  it('should begin anew after the rank started again', () => {
+  it('should begin a new window after the rank restarted', () => {
     const fixture = new DemandFixture();
     fixture.choose(3, 50_000);
     fixture.note();
     const counts = Array.from({length: EXPERTS}, () => 900);
     const reading = {rankId: 'r0', counts: {pass: 1, epoch: 2, counts}};
-    expect(fixture.demand.note([reading], true)).toBe('nothing');
+    expect(fixture.demand.addReadings([reading], true)).toBe('nothing');
   });
 
-  // The rank that was read has no requests any more, and another is read: the
-  // difference between the two would be no demand at all.
+  // The sampled rank has no requests any more, and another one is read instead.
+  // The difference between the counts of two ranks is not a demand.
   it('should not compare the counts of two ranks', () => {
     const fixture = new DemandFixture();
     fixture.choose(3, 50_000);
     fixture.note();
-    const counts = add(noChoices(), 13, 90_000);
+    const counts = addChoices(noChoices(), 13, 90_000);
     const other = {rankId: 'r5', counts: {pass: 9, epoch: 1, counts}};
-    expect(fixture.demand.note([other], true)).toBe('nothing');
+    expect(fixture.demand.addReadings([other], true)).toBe('nothing');
     expect(fixture.leader).toBe(3);
   });
 
-  // Shifts that move a few hundredths of the choices pass for noise, each window
-  // blurs what is known, and no map is changed any more while passes get longer.
-  it('should tell a small shift by how little the ranks of a sample differ', () => {
+  // If a shift of a few hundredths of the choices were taken for noise, each
+  // window would blur the known demand, and no map would be switched any more
+  // while passes get longer.
+  it('should detect a small shift when the ranks of a sample differ little', () => {
     const sample = new SampleFixture(4);
     expect(sample.choose(0, 0.02)).toBe('shifted');
     for (let i = 0; i < 5; i++) expect(sample.choose(0, 0.02)).toBe('same');
     expect(sample.choose(0.1, 0.02)).toBe('shifting');
   });
 
-  // The few requests of each rank ask for other subjects with every window. Taken
-  // for shifts, they would move copies back and forth.
-  it('should take ranks that differ widely from each other for no shift', () => {
+  // The few requests of each rank cover other subjects in every window. If that
+  // were reported as a shift, switches would move copies back and forth.
+  it('should not report a shift when the ranks of a sample differ widely', () => {
     const sample = new SampleFixture(4);
     sample.choose(0, 0.4);
     const changes = Array.from({length: 40}, () => sample.choose(0, 0.4));
--- a/tests/mapPlan.spec.ts
+++ b/tests/mapPlan.spec.ts
@@ -30,15 +30,16 @@
       counts: {epoch: 1, pass: 1, counts: Array(EXPERTS).fill(count)},
     },
   ];
-  demand.begin(reading(0));
-  demand.note(reading(1_000), true);
+  demand.beginWindows(reading(0));
+  demand.addReadings(reading(1_000), true);
   return demand;
 }
 
-describe('plan of a map', () => {
-  // One rank is twelve times slower. Its skew of 12 was taken for what the next
-  // shift of demand would bring, and shut the group at its floor for 12 s.
-  it('should tell the skew of demand apart from that of a slow rank', async () => {
+describe('map planning', () => {
+  // One rank is twelve times slower. Its skew of 12 was used as the forecast
+  // for the next demand shift, which kept the group at its lowest concurrency
+  // limit for 12 s.
+  it('should separate the skew of demand from that of a slow rank', async () => {
     const plan = await planMap({
       current: [Array.from({length: RANKS}, (_, r) => [2 * r, 2 * r + 1])],
       demand: evenDemand(),
--- a/tests/orderedRanks.spec.ts
+++ b/tests/orderedRanks.spec.ts
@@ -1,45 +1,49 @@
 import {xorshift128plus} from 'pure-rand/generator/xorshift128plus';
 import type {MapLists} from '../src/ports/rankPort';
-import type {SentOrder} from '../src/ranks/switchPhase';
-import {RankSwitch} from '../src/ranks/rankSwitch';
+import type {OutgoingOrder} from '../src/ranks/switchPhase';
+import {GroupMapSwitch} from '../src/ranks/rankSwitch';
 import {FakeRankGroup} from './fixtures/fakeRankGroup';
 
 const RANKS = 5;
-const STEP_MS = 5;
-const FIRST: MapLists = [[[0], [1], [2], [3], [4]]];
+const TICK_MS = 5;
+const INITIAL_LISTS: MapLists = [[[0], [1], [2], [3], [4]]];
 
 function randomOf(seed: number): () => number {
   const generator = xorshift128plus(seed);
   return () => (generator.next() >>> 0) / 2 ** 32;
 }
 
-interface Waiting {
+interface PendingAction {
   readonly atMs: number;
   run(): void;
 }
 
-/** One orderer with the way of its orders and answers. */
-class Orderer {
-  readonly machine: RankSwitch;
-  private waiting: Waiting[] = [];
-  private reportAtMs = 0;
+/**
+ * One leader, and the network that delays or loses its orders and responses.
+ */
+class SimulatedLeader {
+  readonly mapSwitch: GroupMapSwitch;
+  private waiting: PendingAction[] = [];
+  private nextReportMs = 0;
   private maps = 0;
 
   constructor(
     private readonly group: FakeRankGroup,
     private readonly fence: number,
     private readonly random: () => number,
-    private readonly lateShare: () => number,
-    private readonly isEager: boolean,
-    /** Whether all ranks report, also those whose reports are not needed. */
-    private readonly readsAll: boolean
+    private readonly lateRatio: () => number,
+    private readonly switchesOften: boolean,
+    /**
+     * Whether all ranks report, including those whose reports are not needed.
+     */
+    private readonly readsAllReports: boolean
   ) {
     const inUse = group.ranks[0]?.map;
     const lists =
       inUse === undefined || inUse.lists === ''
-        ? FIRST
+        ? INITIAL_LISTS
         : (JSON.parse(inUse.lists) as MapLists);
-    this.machine = new RankSwitch(
+    this.mapSwitch = new GroupMapSwitch(
       RANKS,
       lists,
       inUse?.version ?? 0,
@@ -54,13 +58,14 @@
     this.waiting = this.waiting.filter(({atMs}) => atMs > nowMs);
     for (const {run} of due) run();
     if (!isAwake) return;
-    this.send(this.machine.step({kind: 'tick'}, nowMs));
-    if (nowMs >= this.reportAtMs) this.readReports();
-    const isIdle = this.machine.state.kind === 'idle';
-    if (this.isEager && this.random() < 0.01) this.machine.drop(nowMs);
-    const share = this.isEager ? 0.5 : 0.02;
-    if (isIdle && this.machine.knowsLists && this.random() < share)
-      this.send(this.machine.begin(this.nextMap(), 100, nowMs));
+    this.send(this.mapSwitch.step({kind: 'tick'}, nowMs));
+    if (nowMs >= this.nextReportMs) this.readReports();
+    const isIdle = this.mapSwitch.state.kind === 'idle';
+    if (this.switchesOften && this.random() < 0.01)
+      this.mapSwitch.abortPreparing(nowMs);
+    const beginProbability = this.switchesOften ? 0.5 : 0.02;
+    if (isIdle && this.mapSwitch.knowsLists && this.random() < beginProbability)
+      this.send(this.mapSwitch.begin(this.nextMap(), 100, nowMs));
   }
 
   private nextMap(): MapLists {
@@ -71,18 +76,23 @@
 
   private readReports(): void {
     const {nowMs} = this.group;
-    this.reportAtMs = nowMs + 100;
-    const needed = this.machine.ranksToReport(nowMs);
+    this.nextReportMs = nowMs + 100;
+    const needed = this.mapSwitch.ranksToReport(nowMs);
     this.group.reports().forEach((report, rank) => {
-      if (!this.readsAll && !needed.includes(rank)) return;
-      const event = {kind: 'report', rank, report, askedAtMs: nowMs} as const;
-      this.send(this.machine.step(event, nowMs));
+      if (!this.readsAllReports && !needed.includes(rank)) return;
+      const event = {
+        kind: 'report',
+        rank,
+        report,
+        requestedAtMs: nowMs,
+      } as const;
+      this.send(this.mapSwitch.step(event, nowMs));
     });
   }
 
-  private send(orders: readonly SentOrder[]): void {
+  private send(orders: readonly OutgoingOrder[]): void {
     for (const {rank, order} of orders) {
-      const isLate = this.random() < this.lateShare();
+      const isLate = this.random() < this.lateRatio();
       const {nowMs} = this.group;
       const target = this.group.ranks[rank];
       const answerLater = (
@@ -94,11 +104,11 @@
           run: () => {
             const event = {kind: 'answer', rank, order, answer: answer()};
             const now = this.group.nowMs;
-            this.send(this.machine.step(event as never, now));
+            this.send(this.mapSwitch.step(event as never, now));
           },
         });
       if (!isLate) {
-        answerLater(nowMs + STEP_MS, () => target!.take(order, this.fence));
+        answerLater(nowMs + TICK_MS, () => target!.take(order, this.fence));
         continue;
       }
       answerLater(nowMs + 250, () => 'unknown');
@@ -109,39 +119,46 @@
   }
 }
 
-type Played = FakeRankGroup & {
+type SimulationResult = FakeRankGroup & {
   readonly maps: number;
-  /** Passes in the last two seconds, when no order is late any more. */
+  /** Passes in the last two seconds, when orders are no longer late. */
   readonly lastPasses: number;
 };
 
-function play(
+function simulate(
   seed: number,
   seconds: number,
-  {isEager = false, readsAll = false} = {}
-): Played {
+  {switchesOften = false, readsAllReports = false} = {}
+): SimulationResult {
   const random = randomOf(seed);
   const group = new FakeRankGroup(RANKS);
-  const share = [0, 0.1, 0.35, 0.5][seed % 4] ?? 0;
-  const lateShare = () => (group.nowMs < seconds * 600 ? share : 0);
+  const lateRatioOfSeed = [0, 0.1, 0.35, 0.5][seed % 4] ?? 0;
+  const lateRatio = () => (group.nowMs < seconds * 600 ? lateRatioOfSeed : 0);
   let fence = 1;
-  const newOrderer = () =>
-    new Orderer(group, fence, random, lateShare, isEager, readsAll);
-  const orderers = [newOrderer()];
-  group.advance(STEP_MS);
+  const newLeader = () =>
+    new SimulatedLeader(
+      group,
+      fence,
+      random,
+      lateRatio,
+      switchesOften,
+      readsAllReports
+    );
+  const leaders = [newLeader()];
+  group.advance(TICK_MS);
   const versions = new Set<number>();
   let lastPasses = 0;
   while (group.nowMs < seconds * 1_000) {
-    group.advance(STEP_MS);
+    group.advance(TICK_MS);
     if (random() < 0.002) group.isIdle = !group.isIdle;
     if (group.nowMs > seconds * 800) group.isIdle = false;
-    // A new orderer, while the old one is frozen and may wake up again.
+    // A new leader takes over; the old one is frozen and may resume later.
     if (random() < 0.0007) {
       fence++;
-      orderers.push(newOrderer());
+      leaders.push(newLeader());
     }
-    orderers.forEach((orderer, i) =>
-      orderer.step(i === orderers.length - 1 || random() < 0.05)
+    leaders.forEach((leader, i) =>
+      leader.step(i === leaders.length - 1 || random() < 0.05)
     );
     versions.add(group.ranks[0]?.map.version ?? 0);
     if (group.nowMs <= (seconds - 2) * 1_000) lastPasses = group.pass;
@@ -150,29 +167,32 @@
   return Object.assign(group, {maps: versions.size, lastPasses});
 }
 
-describe('maps of ranks that order themselves by nobody', () => {
-  // Seed 22 once broke it: a new orderer disarmed ranks while the last one's go
-  // was on its way. Seed 263: a late go fitted a later hold for the same pass.
-  // Seeds 26 and 99: a switch that began before the pass of the last one
-  // disarmed it.
-  // Orders get no answer and are carried out 2 to 12 s later, after newer ones;
-  // orderers are replaced half way, and old ones wake up. A pass in which two
-  // ranks used different maps would hand callers wrong tokens.
+describe('map switches of a group of ranks', () => {
+  // Orders get no response and are carried out 2 to 12 s later, after newer
+  // ones. Leaders are replaced during a switch, and old ones resume. A pass in
+  // which two ranks use different maps would produce wrong tokens.
+  // Earlier faults: a new leader disarmed ranks while the `go` of the last one
+  // was in flight (seed 22); a late `go` matched a later hold for the same pass
+  // (seed 263); a switch that began before the pass of the last one disarmed it
+  // (seeds 26 and 99).
   it('should never let a pass begin with two maps, whatever comes late', () => {
-    for (const readsAll of [true, false])
+    for (const readsAllReports of [true, false])
       for (const seed of [...Array.from({length: 60}, (_, i) => i), 99, 263]) {
-        const group = play(seed, 40, {readsAll});
+        const group = simulate(seed, 40, {readsAllReports});
         expect({seed, mixed: group.mixedPasses}).toEqual({seed, mixed: 0});
       }
   });
 
-  // Demand shifts again and again: each switch begins as soon as the last one
-  // is let go, and copies under way are given up for newer ones. What the last
-  // switch armed must not be undone by the next one's failure.
-  it('should never mix maps when switches follow at once or are dropped', () => {
+  // Demand shifts repeatedly: each switch begins as soon as the last one is
+  // released, and copies under way are aborted for newer ones. A failed switch
+  // must not disarm ranks that the last one has armed.
+  it('should never mix maps when switches follow at once or are aborted', () => {
     for (let seed = 0; seed < 120; seed++) {
-      const readsAll = seed >= 60;
-      const group = play(seed % 60, 40, {isEager: true, readsAll});
+      const readsAllReports = seed >= 60;
+      const group = simulate(seed % 60, 40, {
+        switchesOften: true,
+        readsAllReports,
+      });
       expect({seed, mixed: group.mixedPasses}).toEqual({seed, mixed: 0});
       const goesOn = group.lastPasses > 5;
       const switches = group.maps > 2;
@@ -184,27 +204,34 @@
     }
   });
 
-  // Reports are 200 ms old: they show ranks armed for a switch that is in force
-  // already. Taking it back would order the ranks about for nothing, while the
-  // next switch waits and passes take twice as long.
-  it('should not take its own last switch for one of another orderer', () => {
+  // Reports are 200 ms old: they show ranks armed for a map that is already
+  // active. Rolling that switch back would be useless, and would delay the next
+  // switch while passes take twice as long.
+  it('should not mistake its own last switch for that of another leader', () => {
     const group = new FakeRankGroup(RANKS);
-    const orderer = new Orderer(group, 1, randomOf(7), () => 0, true, false);
+    const leader = new SimulatedLeader(
+      group,
+      1,
+      randomOf(7),
+      () => 0,
+      true,
+      false
+    );
     const phases = new Set<string>();
     while (group.nowMs < 20_000) {
-      group.advance(STEP_MS);
-      orderer.step(true);
-      phases.add(orderer.machine.state.kind);
+      group.advance(TICK_MS);
+      leader.step(true);
+      phases.add(leader.mapSwitch.state.kind);
     }
     expect(phases).toContain('arming');
     expect(phases).not.toContain('seizing');
   });
 
-  // Safety alone could be had by ordering nothing: maps must come in force, and
-  // the group must go on once orders arrive in time again.
+  // A leader that sends no orders would be safe, too. So maps must become
+  // active, and the group must continue once orders arrive in time again.
   it('should switch maps and keep the group going', () => {
     for (let seed = 1; seed <= 20; seed++) {
-      const group = play(seed, 40);
+      const group = simulate(seed, 40);
       expect(group.maps).toBeGreaterThan(2);
       expect({seed, goesOn: group.lastPasses > 5}).toEqual({
         seed,
@@ -213,19 +240,26 @@
     }
   });
 
-  // Each report of a rank is a call on a connection of its own. With 63 ranks
-  // the leader made hundreds a second while a switch went on, and callers' events
-  // waited behind them; one rank tells how far all of them are.
-  it('should ask one rank while a switch that all have taken goes on', () => {
+  // Each report is a call on a connection of its own. With 63 ranks, the leader
+  // made hundreds of calls a second during a switch, which delayed the events
+  // of callers. One rank shows the progress of all of them.
+  it('should query only one rank once all ranks have accepted a switch', () => {
     const group = new FakeRankGroup(RANKS);
-    const orderer = new Orderer(group, 1, randomOf(7), () => 0, true, false);
+    const leader = new SimulatedLeader(
+      group,
+      1,
+      randomOf(7),
+      () => 0,
+      true,
+      false
+    );
     const asked = new Map<string, number>();
     while (group.nowMs < 20_000) {
-      group.advance(STEP_MS);
-      orderer.step(true);
-      const {machine} = orderer;
-      const due = machine.ranksToReport(group.nowMs);
-      const {kind} = machine.state;
+      group.advance(TICK_MS);
+      leader.step(true);
+      const {mapSwitch} = leader;
+      const due = mapSwitch.ranksToReport(group.nowMs);
+      const {kind} = mapSwitch.state;
       asked.set(kind, Math.max(asked.get(kind) ?? 0, due.length));
     }
     expect(asked.get('holding')).toBe(1);
@@ -233,23 +267,37 @@
     expect(asked.get('idle')).toBe(RANKS);
   });
 
-  // The leader dies while the group waits for its go. Taking the switch back takes
-  // more than a second, in which no stream of the whole group gets an event.
+  // The leader dies while the group is held. Rolling the switch back takes more
+  // than a second, in which no stream of the whole group gets an event.
   it.each(['holding', 'arming', 'releasing'] as const)(
-    'should let the group go on soon after a leader was lost while %s',
+    'should resume the group soon after the leader was lost while %s',
     lost => {
       const group = new FakeRankGroup(RANKS);
-      const first = new Orderer(group, 1, randomOf(7), () => 0, true, false);
-      while (first.machine.state.kind !== lost || group.nowMs < 2_000) {
-        group.advance(STEP_MS);
+      const first = new SimulatedLeader(
+        group,
+        1,
+        randomOf(7),
+        () => 0,
+        true,
+        false
+      );
+      while (first.mapSwitch.state.kind !== lost || group.nowMs < 2_000) {
+        group.advance(TICK_MS);
         first.step(true);
       }
-      for (let ms = 0; ms < 300; ms += STEP_MS) group.advance(STEP_MS);
-      const next = new Orderer(group, 2, randomOf(8), () => 0, false, false);
+      for (let ms = 0; ms < 300; ms += TICK_MS) group.advance(TICK_MS);
+      const next = new SimulatedLeader(
+        group,
+        2,
+        randomOf(8),
+        () => 0,
+        false,
+        false
+      );
       const {pass} = group;
       const sinceMs = group.nowMs;
       while (group.pass < pass + 3 && group.nowMs < sinceMs + 5_000) {
-        group.advance(STEP_MS);
+        group.advance(TICK_MS);
         next.step(true);
       }
       expect(group.nowMs - sinceMs).toBeLessThan(450);
--- a/tests/platform/rankCalls.spec.ts
+++ b/tests/platform/rankCalls.spec.ts
@@ -54,7 +54,7 @@
   });
 
   it.each(['', '{', '[]', '{"step":"x"}'])(
-    'should understand nothing in "%s"',
+    'should reject the malformed text "%s"',
     text => {
       expect(RANK_CODEC.readReport(text)).toBeUndefined();
       expect(RANK_CODEC.readCounts(text)).toBeUndefined();
@@ -62,7 +62,7 @@
     }
   );
 
-  // A refused order never took effect; one without a clear answer may have.
+  // A refused order never took effect; one with an unexpected status may have.
   it.each([
     [200, 'done'],
     [202, 'done'],
--- a/tests/rankCaller.spec.ts
+++ b/tests/rankCaller.spec.ts
@@ -1,13 +1,13 @@
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
-import {RankCaller} from '../src/ranks/rankCaller';
+import {RankTransport} from '../src/ranks/rankCaller';
 import {relayToRanks} from '../src/ranks/rankRelay';
 import {RELAY_PARAMS} from '../src/ranks/relayMessages';
 
 const RANKS = 24;
 const CALL = {method: 'POST', path: '/order', body: '{"version":7}'} as const;
 
-/** A rank that notes what it was sent. */
+/** A rank that records the bodies of its requests. */
 class FakeRank {
   readonly bodies: string[] = [];
   private readonly server = http.createServer((req, res) => {
@@ -37,8 +37,8 @@
 
 let fakes: FakeRank[];
 let ranks: Rank[];
-let lost: Set<string>;
-let relayed: string[];
+let lostRelays: Set<string>;
+let usedRelays: string[];
 
 beforeEach(async () => {
   fakes = Array.from({length: RANKS}, () => new FakeRank());
@@ -47,76 +47,80 @@
     address,
     availabilityZone: i % 2 === 0 ? 'a' : 'b',
   }));
-  lost = new Set();
-  relayed = [];
+  lostRelays = new Set();
+  usedRelays = [];
 });
 afterEach(() => {
   for (const fake of fakes) fake.close();
 });
 
-function callerWith(nodes: readonly string[]): RankCaller {
+function transportWith(nodes: readonly string[]): RankTransport {
   const known = new Set(ranks.map(({address}) => address));
-  return new RankCaller({
+  return new RankTransport({
     relays: () =>
       nodes.map((address, i) => ({
         address,
         availabilityZone: i % 2 === 0 ? 'a' : 'b',
       })),
     callNode: async (ip, _method, params) => {
-      if (lost.has(ip)) throw new Error('no answer');
-      relayed.push(ip);
+      if (lostRelays.has(ip)) throw new Error('no answer');
+      usedRelays.push(ip);
       return relayToRanks(RELAY_PARAMS.parse(params), known);
     },
   });
 }
 
-async function callAll(caller: RankCaller) {
+async function callAll(transport: RankTransport) {
   const answers = new Map<Rank, number | undefined>();
-  const summary = await caller.callAll(ranks, 'prepare', CALL, (rank, answer) =>
-    answers.set(rank, answer?.status)
+  const summary = await transport.callAll(
+    ranks,
+    'prepare',
+    CALL,
+    (rank, answer) => answers.set(rank, answer?.status)
   );
   return {answers, summary};
 }
 
 describe('calls to the ranks of a large group', () => {
-  it('should bring the same order to each rank once, through other nodes', async () => {
+  it('should send the same order to each rank once, through relays', async () => {
     const {answers, summary} = await callAll(
-      callerWith(['n0', 'n1', 'n2', 'n3'])
+      transportWith(['n0', 'n1', 'n2', 'n3'])
     );
     expect([...answers.values()]).toEqual(ranks.map(() => 200));
     expect(fakes.map(({bodies}) => bodies)).toEqual(
       fakes.map(() => [CALL.body])
     );
-    expect(relayed.sort()).toEqual(['n0', 'n1', 'n2', 'n3']);
+    expect(usedRelays.sort()).toEqual(['n0', 'n1', 'n2', 'n3']);
     expect(summary).toMatchObject({sent: RANKS, answered: RANKS, relays: 4});
   });
 
-  it('should call all ranks itself while no other node is known', async () => {
-    const {answers, summary} = await callAll(callerWith([]));
+  it('should call all ranks directly while no other node is known', async () => {
+    const {answers, summary} = await callAll(transportWith([]));
     expect([...answers.values()]).toEqual(ranks.map(() => 200));
     expect(summary.relays).toBe(0);
   });
 
-  // A node dies with a share of the orders. Nothing is known of its ranks, and
-  // the retry must not go to it again, or the switch waits for its recovery.
-  it('should tell the ranks of a lost relay as unanswered and use others next', async () => {
-    const caller = callerWith(['n0', 'n1', 'n2', 'n3']);
-    lost.add('n2');
-    const first = await callAll(caller);
+  // A relay dies with a share of the orders, so the state of their ranks is
+  // unknown. A retry through the same relay would delay the switch until it
+  // recovers.
+  it('should report the ranks of a lost relay as unanswered and use others next', async () => {
+    const transport = transportWith(['n0', 'n1', 'n2', 'n3']);
+    lostRelays.add('n2');
+    const first = await callAll(transport);
     const unanswered = ranks.filter(
       rank => first.answers.get(rank) === undefined
     );
     expect(unanswered).toHaveLength(RANKS / 4);
     expect(first.summary.answered).toBe(RANKS - unanswered.length);
-    lost.clear();
-    relayed = [];
-    const second = await callAll(caller);
+    lostRelays.clear();
+    usedRelays = [];
+    const second = await callAll(transport);
     expect([...second.answers.values()]).toEqual(ranks.map(() => 200));
-    expect(relayed).not.toContain('n2');
+    expect(usedRelays).not.toContain('n2');
   });
 
   // The internal port must not become a way to call any machine.
-  it('should pass nothing on to addresses that are no known targets', async () => {
+  it('should not relay calls to addresses of unknown targets', async () => {
     const [one, other] = ranks;
     const params = {
       method: 'POST' as const,
--- a/tests/rankFanOut.spec.ts
+++ b/tests/rankFanOut.spec.ts
@@ -1,4 +1,4 @@
-import {orderBatches, AnswerTally} from '../src/ranks/orderBatches';
+import {batchOrders, AnswerTally} from '../src/ranks/orderBatches';
 import {planRelays} from '../src/policy/relayPlan';
 import {RetransmitTimeout} from '../src/policy/retransmitTimeout';
 
@@ -19,25 +19,26 @@
   }));
 }
 
-/** Time to send a map to all ranks: links carry one copy after the other. */
+/** Time to send a map to all ranks, when each link sends one copy at a time. */
 function fanOutMs(rankCount: number, nodeCount: number): number {
   const mapBytes = rankCount * 200;
   const packedBytes = mapBytes * 0.4;
   const shares = planRelays(ranks(rankCount), relays(nodeCount));
   const relayed = shares.filter(({relay}) => relay !== undefined);
   const direct = shares.filter(({relay}) => relay === undefined);
-  const own = direct.flatMap(({ranks: ofShare}) => ofShare).length * mapBytes;
-  const leaderMs = (own + relayed.length * packedBytes) / 12_500;
-  const most = Math.max(0, ...relayed.map(({ranks: r}) => r.length));
-  const relayMs = (most * mapBytes) / 3_500;
+  const directBytes =
+    direct.flatMap(({ranks: ofShare}) => ofShare).length * mapBytes;
+  const leaderMs = (directBytes + relayed.length * packedBytes) / 12_500;
+  const maxShare = Math.max(0, ...relayed.map(({ranks: r}) => r.length));
+  const relayMs = (maxShare * mapBytes) / 3_500;
   const rankMs = mapBytes / 525;
   return leaderMs + Math.max(relayMs, rankMs);
 }
 
 describe('fan-out to the ranks of a group', () => {
-  // One node sends a map of 25 kB to each of 129 ranks: its link alone takes a
-  // quarter of a second, calls time out, and the retries take the rest.
-  it('should not grow with the ranks beyond what the map itself grows', () => {
+  // If one node sends a map of 25 kB to each of 129 ranks, its link alone needs
+  // a quarter of a second, calls time out, and the retries add to the load.
+  it('should not take longer per byte of the map for more ranks', () => {
     const perRank = (count: number, nodes: number) =>
       fanOutMs(count, nodes) / (count * 200);
     const small = perRank(12, 7);
@@ -67,7 +68,7 @@
     expect(planRelays(ranks(129), [])).toEqual([{ranks: ranks(129)}]);
   });
 
-  // All nodes of a zone are lost: its ranks must still get their orders.
+  // When all nodes of a zone are lost, its ranks must still get their orders.
   it('should reach ranks of a zone without nodes through other zones', () => {
     const near = relays(39).filter(one => one.availabilityZone !== 'c');
     const shares = planRelays(ranks(129), near);
@@ -78,7 +79,7 @@
 
   it('should encode and log equal orders once', () => {
     const lists = [[[0], [1]]];
-    const batches = orderBatches([
+    const batches = batchOrders([
       {rank: 0, order: {kind: 'prepare', version: 2, lists}},
       {rank: 1, order: {kind: 'prepare', version: 2, lists}},
       {rank: 0, order: {kind: 'hold', pass: 7}},
@@ -91,12 +92,12 @@
   });
 });
 
-describe('time limit of calls to ranks', () => {
+describe('timeout of calls to ranks', () => {
   const bounds = {minMs: 60, maxMs: 1_000, initialMs: 60};
 
-  // Answers of a busy machine take longer than the limit. Each call is sent twice
-  // then, and the second one makes the machine busier still.
-  it('should follow the time that answers take', () => {
+  // Responses of a busy machine take longer than the timeout. Each call is then
+  // sent twice, which increases the load of the machine further.
+  it('should follow the measured response time', () => {
     const timeout = new RetransmitTimeout(bounds);
     for (let i = 0; i < 20; i++) timeout.noteAnswer(150);
     expect(timeout.ms).toBeGreaterThan(150);
@@ -104,7 +105,7 @@
     expect(timeout.ms).toBe(60);
   });
 
-  it('should double while most calls have no answer', () => {
+  it('should double while most calls have no response', () => {
     const timeout = new RetransmitTimeout(bounds);
     timeout.noteTimeouts(100, 129);
     expect(timeout.ms).toBe(120);
@@ -112,9 +113,9 @@
     expect(timeout.ms).toBe(240);
   });
 
-  // One rank of many is lost. The others' answers tell how long calls take, and
-  // waiting longer for the lost one would hold up the whole group.
-  it('should not grow when one rank of many has no answer', () => {
+  // One rank of many is lost. The responses of the others show how long calls
+  // take, and a longer timeout for the lost one would hold up the whole group.
+  it('should not grow when one rank of many has no response', () => {
     const timeout = new RetransmitTimeout(bounds);
     for (let i = 0; i < 20; i++) timeout.noteAnswer(10);
     timeout.noteTimeouts(1, 129);
