--- a/src/policy/balance.ts
+++ b/src/policy/balance.ts
@@ -1,46 +1,46 @@
 /**
- * Chooses the target of one request from a partial and lagging view.
+ * Chooses the target of one request from a partial and outdated view of the load.
  *
- * The score of a target is the work it is expected to hold, this request
- * included, over what it may run at once. The lowest score of a small random
- * sample wins, so that entries with the same old view don't all pick the same
+ * The score of a target is its expected load, including this request, divided by
+ * its concurrency limit. The lowest score in a small random sample wins, because
+ * entries that share the same outdated view would otherwise all pick the same
  * target.
  */
 
 import type {Temperature} from '../core/wire';
 
-/** What one entry knows of one target when it routes one request. */
+/** State of one target as one entry knows it when it routes a request. */
 export interface TargetView {
   readonly targetId: string;
   readonly availabilityZone: string;
   readonly temperature: Temperature;
-  /** Requests that the target may run at once now; 0 takes it out. */
+  /** Current concurrency limit; a target with limit 0 is never chosen. */
   readonly limit: number;
   readonly reportedOutstanding: number;
   readonly reportedQueued: number;
-  /** Tokens in work and waiting, as last reported; 0 for plain services. */
+  /** Tokens running and queued, as last reported; 0 for plain services. */
   readonly reportedTokens: number;
-  /** Milliseconds since the target made that report. */
+  /** Milliseconds since the target made its last report. */
   readonly reportAgeMs: number;
-  /** Requests of this entry that the target has not yet answered. */
+  /** Requests of this entry that are in flight at the target. */
   readonly ownOutstanding: number;
-  /** Cost of those requests, see `requestCost`. */
+  /** Cost of the requests in `ownOutstanding`, see `requestCost`. */
   readonly ownTokens: number;
-  /** Requests that this entry has sent there since the report was made. */
+  /** Requests that this entry has sent to the target since its last report. */
   readonly ownSinceReport: number;
-  /** Prompt tokens sent a moment ago, see `promptsLeft`; 0 if absent. */
+  /** Prompt tokens not yet prefilled, see `promptsLeft`; 0 if absent. */
   readonly ownPromptTokens?: number;
-  /** Prompt tokens of this request believed to be cached there. */
+  /** Prompt tokens of this request that the target probably has cached. */
   readonly prefixTokens: number;
-  /** Failed attempts of this entry there in the last seconds. */
+  /** Failed attempts of this entry at the target in the last seconds. */
   readonly recentFailures: number;
-  /** Step time of its rank group over the usual one; 1 for no straggler. */
+  /** Ratio of its group's step time to the usual one; 1 without a straggler. */
   readonly groupStraggle: number;
-  /** Part of the normal share while its zone returns, 0 to 1; 1 if absent. */
+  /** Ratio of its normal load while its zone returns, 0 to 1; 1 if absent. */
   readonly returnWeight?: number;
 }
 
-/** What routing knows of a request. */
+/** Properties of a request that affect routing. */
 export interface RoutedRequest {
   /** 0 for plain services. */
   readonly promptTokens: number;
@@ -50,34 +50,36 @@
   readonly availabilityZone: string;
 }
 
-/** A prompt token against an output token: prefill runs many at a time. */
+/** Cost of a prompt token in output tokens: prefill processes many at a time. */
 const PROMPT_TOKEN_COST = 0.1;
 /** Cost of a call to a plain service. */
 const SERVICE_COST = 1;
-/** Age at which a report counts for half, the mean of the pool for the rest. */
+/** Age at which a report and the mean of the pool have the same weight. */
 const REPORT_HALF_LIFE_MS = 8000;
 /**
- * Step time of an empty target, in the step time that a full batch adds. A
- * straggler is slow with one request already, so it must count without load.
+ * Score of an idle target: its step time, relative to the time that a full batch
+ * adds. It is multiplied by the group's slowdown because a straggler is already
+ * slow with a single request.
  */
 const UNLOADED_SCORE = 1;
 /**
- * Prompt tokens still to be taken in that weigh as much as a running request.
- * A running request slows the step a little; a prompt ahead makes the new one
- * wait for its first token.
+ * Number of pending prompt tokens that weigh as much as one running request. A
+ * running request slows each step slightly; a prompt ahead in the prefill queue
+ * delays the first token of the new request.
  */
-const PROMPT_TOKENS_A_REQUEST = 250;
+const PROMPT_TOKENS_PER_REQUEST = 250;
 /**
- * A request that waits at a gate, in running ones. The gate serves by share, so
- * that the backlog of a flood delays nobody else; in full, its chance would
- * outweigh all that does delay a small customer there.
+ * Weight of a request in the target's queue, relative to a running one. That queue
+ * is fair among customers, so the backlog of a flood delays no other customer. At
+ * full weight, random differences in that backlog would outweigh everything that
+ * does delay a small customer.
  */
 const WAITING_WEIGHT = 0.1;
 /** Targets compared for each request. */
 const SAMPLE_SIZE = 3;
-/** Added to the score for leaving the zone, in parts of a full target. */
+/** Score penalty for another zone; a fully loaded target counts 1. */
 const REMOTE_ZONE_SCORE = 0.02;
-/** Added to the score for each recent failure, in parts of a full target. */
+/** Score penalty for each recent failure; a fully loaded target counts 1. */
 const FAILURE_SCORE = 0.5;
 
 /** Cost of a request in output tokens, or 1 for a plain service. */
@@ -90,7 +92,7 @@
   return Math.max(SERVICE_COST, cost);
 }
 
-/** The target to send the request to; undefined when none may take work. */
+/** Chooses the target for a request; undefined when every limit is 0. */
 export function chooseTarget(
   req: RoutedRequest,
   targets: readonly TargetView[],
@@ -98,34 +100,37 @@
 ): TargetView | undefined {
   const usable = targets.filter(target => target.limit > 0);
   if (usable.length === 0) return undefined;
-  const withRoom = usable.filter(hasRoom);
-  const candidates = withRoom.length > 0 ? withRoom : usable;
+  const withFreeSlot = usable.filter(hasFreeSlot);
+  const candidates = withFreeSlot.length > 0 ? withFreeSlot : usable;
   const pool = summarize(usable);
   const sampled = sample(candidates, random);
-  const cached = prefixHolder(candidates);
+  const cached = bestPrefixTarget(candidates);
   const compared = cached === undefined ? sampled : [...sampled, cached];
   return lowestScore(req, compared, pool);
 }
 
 /**
- * The least loaded of the targets that hold most of the prompt. A sample
- * would miss it more often than not, and it can still lose to a lower load.
+ * Returns the target with the longest cached prompt prefix, and the least loaded
+ * among equals. It is compared in addition to the sample, which would usually miss
+ * it; a less loaded target can still win.
  */
-function prefixHolder(targets: readonly TargetView[]): TargetView | undefined {
+function bestPrefixTarget(
+  targets: readonly TargetView[]
+): TargetView | undefined {
   let best: TargetView | undefined;
   for (const target of targets) {
     if (target.prefixTokens === 0 || (target.returnWeight ?? 1) < 1) continue;
-    if (best === undefined || holdsMore(target, best)) best = target;
+    if (best === undefined || isBetterPrefixTarget(target, best)) best = target;
   }
   return best;
 }
 
-function holdsMore(target: TargetView, than: TargetView): boolean {
+function isBetterPrefixTarget(target: TargetView, than: TargetView): boolean {
   if (target.prefixTokens !== than.prefixTokens)
     return target.prefixTokens > than.prefixTokens;
   return (
-    reported(target) + target.ownSinceReport <
-    reported(than) + than.ownSinceReport
+    reportedRequests(target) + target.ownSinceReport <
+    reportedRequests(than) + than.ownSinceReport
   );
 }
 
@@ -134,22 +139,25 @@
 }
 
 function summarize(targets: readonly TargetView[]): PoolSummary {
-  const total = targets.reduce((sum, target) => sum + reported(target), 0);
+  const total = targets.reduce(
+    (sum, target) => sum + reportedRequests(target),
+    0
+  );
   return {meanOutstanding: total / targets.length};
 }
 
-function reported(target: TargetView): number {
+function reportedRequests(target: TargetView): number {
   return target.reportedOutstanding + target.reportedQueued;
 }
 
-/** A target that isn't warm gets no request beyond its limit from here. */
-function hasRoom(target: TargetView): boolean {
+/** A target that isn't warm gets no request beyond its limit. */
+function hasFreeSlot(target: TargetView): boolean {
   if (target.temperature === 'warm') return true;
-  const known = reported(target) + target.ownSinceReport;
+  const known = reportedRequests(target) + target.ownSinceReport;
   return Math.max(known, target.ownOutstanding) < target.limit;
 }
 
-/** Distinct targets, drawn in proportion to their return weight. */
+/** Draws distinct targets with probability proportional to `returnWeight`. */
 function sample(
   targets: readonly TargetView[],
   random: () => number
@@ -180,24 +188,29 @@
   return best;
 }
 
-/** Expected requests at the target, weighted by what is known and how old. */
+/**
+ * Estimates the requests at the target: the older its report, the more the mean of
+ * the pool counts instead.
+ */
 function expectedOutstanding(target: TargetView, pool: PoolSummary): number {
-  const trust = Math.pow(0.5, target.reportAgeMs / REPORT_HALF_LIFE_MS);
+  const reportWeight = Math.pow(0.5, target.reportAgeMs / REPORT_HALF_LIFE_MS);
   const estimate =
-    trust * reported(target) + (1 - trust) * pool.meanOutstanding;
+    reportWeight * reportedRequests(target) +
+    (1 - reportWeight) * pool.meanOutstanding;
   return Math.max(target.ownOutstanding, estimate + target.ownSinceReport);
 }
 
-/** Work per unit of capacity; 1 is a target that runs all it may. */
+/** Scores a target; its `load` term is 1 when it runs up to its limit. */
 function score(
   req: RoutedRequest,
   target: TargetView,
   pool: PoolSummary
 ): number {
-  const full = requestCost(req);
-  const part = requestCost(req, target.prefixTokens) / full;
-  const prompts = (target.ownPromptTokens ?? 0) / PROMPT_TOKENS_A_REQUEST;
-  const requests = (expectedOutstanding(target, pool) + part) / target.limit;
+  const fullCost = requestCost(req);
+  const uncachedRatio = requestCost(req, target.prefixTokens) / fullCost;
+  const prompts = (target.ownPromptTokens ?? 0) / PROMPT_TOKENS_PER_REQUEST;
+  const requests =
+    (expectedOutstanding(target, pool) + uncachedRatio) / target.limit;
   const waiting = Math.max(0, requests - 1);
   const load =
     requests - waiting + waiting * WAITING_WEIGHT + prompts / target.limit;
--- a/src/policy/concurrencyLimit.ts
+++ b/src/policy/concurrencyLimit.ts
@@ -1,61 +1,66 @@
 /**
- * Adapts how many requests a warm target runs at once to its latency:
- * additive increase while the latency holds, multiplicative decrease when it
- * rises over the unloaded one.
+ * Adapts the concurrency limit of a warm target to its latency: additive increase
+ * while the latency stays near that of the lightly loaded target, multiplicative
+ * decrease when it rises.
  */
 
-/** Bounds that the rules give. */
+/** Bounds of the limit, from the rules. */
 export interface ConcurrencyBounds {
   readonly start: number;
   readonly full: number;
 }
 
-/** State of one target's limit. */
+/** State of the adaptive limit of one target. */
 export interface ConcurrencyState {
   readonly limit: number;
-  /** Latency per unit of cost of a lightly loaded target, in milliseconds. */
+  /** Latency per unit of cost when lightly loaded, in milliseconds. */
   readonly baselineMs: number | undefined;
-  /** Smoothed latency per unit of cost now, in milliseconds. */
+  /** Moving average of the latency per unit of cost, in milliseconds. */
   readonly recentMs: number | undefined;
-  /** Answers since the limit last changed. */
+  /** Responses since the limit was last adjusted. */
   readonly samples: number;
-  /** Answers in all. */
+  /** Responses in total. */
   readonly seen: number;
 }
 
-/** One answered request. */
+/** Latency of one response. */
 export interface LatencySample {
   /** Milliseconds per unit of cost, for instance between two tokens. */
   readonly latencyMs: number;
-  /** Requests that ran meanwhile. */
+  /** Requests that were running at the same time. */
   readonly outstanding: number;
 }
 
 /**
- * Latency over the baseline at which the limit shrinks. A full batch takes
- * about twice the time of an empty one, and the averages still vary.
+ * Ratio of latency to baseline above which the limit shrinks. A full batch takes
+ * about twice the time of an empty one, and the averages vary on top of that.
  */
-const TOLERANCE = 2.5;
-const DECREASE = 0.9;
+const MAX_LATENCY_RATIO = 2.5;
+const DECREASE_FACTOR = 0.9;
 /**
- * Weight of the newest sample. Whole answers differ from their estimated cost
- * by several times either way: a few of them say nothing, fifty do.
+ * Weight of the newest sample. The real cost of a response may be several times
+ * its estimate or a fraction of it, so an average needs about fifty samples.
  */
 const RECENT_WEIGHT = 0.02;
 /**
- * The baseline follows the average, not single samples: the quickest answer
- * ever seen would make each usual one look slow, and shut the target. It falls
- * quickly and rises slowly, or strain would become the new baseline.
+ * Weights with which the baseline follows the average latency. It doesn't follow
+ * single samples: measured against the fastest response so far, every normal one
+ * would look slow and the limit would fall to its minimum. It falls quickly and
+ * rises slowly; otherwise overload would become the new baseline.
+ */
+const BASELINE_FALL_WEIGHT = 0.02;
+const BASELINE_RISE_WEIGHT = 0.001;
+/**
+ * The first responses to arrive are the short ones, so the baseline equals the
+ * average until there are this many samples.
  */
-const BASELINE_FALL = 0.02;
-const BASELINE_RISE = 0.001;
-/** The first answers are the short ones; until then the baseline follows all. */
 const LEARNING_SAMPLES = 200;
-const MIN_USE = 0.8;
+/** Utilization of the limit below which it doesn't grow. */
+const MIN_UTILIZATION = 0.8;
 /** Keeps logarithms finite. */
 const MIN_LATENCY_MS = 1e-6;
 
-/** Starts a limit at its upper bound; the cold-start ramp guards the rest. */
+/** Starts at the upper bound; the ramp limits a target that is still cold. */
 export function freshConcurrency(bounds: ConcurrencyBounds): ConcurrencyState {
   return {
     limit: bounds.full,
@@ -66,7 +71,7 @@
   };
 }
 
-/** Requests at once that the target may run, within the bounds. */
+/** Returns the concurrency limit, within the bounds. */
 export function concurrencyLimit(
   state: ConcurrencyState,
   bounds: ConcurrencyBounds
@@ -74,60 +79,64 @@
   return Math.max(bounds.start, Math.min(bounds.full, Math.floor(state.limit)));
 }
 
-/** Latency now over that of the unloaded target; 1 when unknown. */
+/** Ratio of the recent latency to the baseline; 1 when unknown. */
 export function latencyRise(state: ConcurrencyState): number {
   if (state.recentMs === undefined || state.baselineMs === undefined) return 1;
   return state.recentMs / state.baselineMs;
 }
 
-/** Takes in one answer; the limit changes once for each limit of answers. */
+/** Records a response; adjusts the limit once every `limit` responses. */
 export function observeLatency(
   state: ConcurrencyState,
   bounds: ConcurrencyBounds,
   sample: LatencySample
 ): ConcurrencyState {
-  const next = average(state, sample.latencyMs, BASELINE_RISE);
+  const next = updateAverages(state, sample.latencyMs, BASELINE_RISE_WEIGHT);
   const limit = concurrencyLimit(state, bounds);
   if (next.samples < limit) return {...next, limit: state.limit};
-  if (latencyRise(next) > TOLERANCE) {
-    const lower = Math.max(bounds.start, limit * DECREASE);
+  if (latencyRise(next) > MAX_LATENCY_RATIO) {
+    const lower = Math.max(bounds.start, limit * DECREASE_FACTOR);
     return {...next, limit: lower, samples: 0};
   }
-  const inUse = sample.outstanding >= limit * MIN_USE;
-  const higher = inUse ? Math.min(bounds.full, limit + 1) : limit;
+  const isUtilized = sample.outstanding >= limit * MIN_UTILIZATION;
+  const higher = isUtilized ? Math.min(bounds.full, limit + 1) : limit;
   return {...next, limit: higher, samples: 0};
 }
 
 /**
- * Takes in a latency without moving the limit, for a target in its cold
- * start: the ramp alone answers to its strain, and a limit that shrank as well
- * would hold it back long after.
+ * Records a latency without adjusting the limit, for a target in its cold start.
+ * There the ramp alone reacts to high latency; if this limit shrank as well, it
+ * would hold the target back long after the ramp has ended.
  */
 export function learnLatency(
   state: ConcurrencyState,
   latencyMs: number
 ): ConcurrencyState {
-  return average(state, latencyMs, 0);
+  return updateAverages(state, latencyMs, 0);
 }
 
-function average(
+function updateAverages(
   state: ConcurrencyState,
   latencyMs: number,
-  rise: number
+  riseWeight: number
 ): ConcurrencyState {
   const seen = state.seen + 1;
   const weight = Math.max(RECENT_WEIGHT, 1 / seen);
-  const recentMs = blend(state.recentMs, latencyMs, weight);
+  const recentMs = geometricMean(state.recentMs, latencyMs, weight);
   const learning = seen < LEARNING_SAMPLES;
   const falls = recentMs < (state.baselineMs ?? Infinity);
-  const pace = falls ? BASELINE_FALL : rise;
-  const baselineMs = blend(state.baselineMs, recentMs, learning ? 1 : pace);
+  const baselineWeight = falls ? BASELINE_FALL_WEIGHT : riseWeight;
+  const baselineMs = geometricMean(
+    state.baselineMs,
+    recentMs,
+    learning ? 1 : baselineWeight
+  );
   const samples = state.samples + 1;
   return {limit: state.limit, recentMs, baselineMs, samples, seen};
 }
 
-/** A geometric average, which one slow answer in a hundred doesn't move. */
-function blend(
+/** Moving geometric mean: one slow response in a hundred hardly changes it. */
+function geometricMean(
   mean: number | undefined,
   sample: number,
   weight: number
--- a/src/policy/enginePriority.ts
+++ b/src/policy/enginePriority.ts
@@ -1,20 +1,23 @@
-/** The order in which an engine is asked to take in prompts. */
+/** Priority with which an engine prefills the prompt of a request. */
 
-/** What decides about one request that is about to be sent to an engine. */
-export interface PromptOrder {
-  /** Whether its customer has used less than its share. */
+/** Properties of a request that determine its priority at the engine. */
+export interface PromptPriorityInput {
+  /** Whether the customer has used less than its share. */
   readonly inCredit: boolean;
-  /** Whether a lost stream goes on with it. */
+  /** Whether the request resumes a stream that another target lost. */
   readonly resumed: boolean;
 }
 
 /**
- * Higher goes first. After the loss of a zone a third of all streams resume
- * at once with long prompts; in order of arrival every new request would wait
- * behind them for its first token. New prompts take a tenth of an engine's
- * time, so that the resumed streams hardly notice that they come second.
+ * Returns the priority; higher goes first. After the loss of a zone a third of all
+ * streams resume at once with long prompts. In order of arrival, every new request
+ * would wait behind them for its first token. New prompts take only a tenth of an
+ * engine's time, so they hardly delay the resumed streams.
  */
-export function enginePriority({inCredit, resumed}: PromptOrder): number {
+export function enginePriority({
+  inCredit,
+  resumed,
+}: PromptPriorityInput): number {
   if (resumed) return 0;
   return inCredit ? 2 : 1;
 }
--- a/src/policy/fairQueue.ts
+++ b/src/policy/fairQueue.ts
@@ -1,9 +1,9 @@
 /**
- * Weighted fair queue among customers, by start tags over virtual time.
+ * Start-time fair queue among customers.
  *
- * Customers are served in proportion to their shares of cost; within one
- * customer the higher priority goes first, then the older item. Priorities
- * never reach across customers: nobody gains by calling all work urgent.
+ * The cost that is served for each customer is proportional to its share. Within
+ * one customer the higher priority goes first, then the older item. Priorities are
+ * not compared across customers: no customer gains by marking all work as urgent.
  */
 
 /** One waiting request. */
@@ -14,12 +14,12 @@
   readonly share: number;
   /** Estimated work, above 0; see `requestCost`. */
   readonly cost: number;
-  /** On the same clock as every `nowMs` here. */
+  /** Deadline, on the same clock as every `nowMs` of the queue. */
   readonly deadlineAt: number;
-  /** Higher goes first among the customer's own items. */
+  /** Higher goes first among the items of the same customer. */
   readonly priority: number;
   readonly payload: T;
-  /** Most items of the customer in service at once; no limit when absent. */
+  /** Maximum items of the customer in service at once; no limit if absent. */
   readonly concurrentLimit?: number;
 }
 
@@ -29,17 +29,17 @@
   readonly maxQueuedPerCustomer: number;
 }
 
-/** Why an item was refused; names of refusals in src/core/refusal.ts. */
+/** Why an item was refused; a subset of the reasons in src/core/refusal.ts. */
 export type OfferRefusal =
   'overloaded' | 'customer-limit' | 'deadline-too-short';
 
-/** Answer to an offer. */
+/** Result of an offer. */
 export type OfferResult =
   | {readonly kind: 'queued'}
   | {
       readonly kind: 'refused';
       readonly reason: OfferRefusal;
-      /** Milliseconds after which room is expected. */
+      /** Milliseconds after which the queue is expected to have room. */
       readonly retryAfterMs: number;
     };
 
@@ -55,26 +55,31 @@
   startTag: number;
 }
 
-/** Items, and part of its slots, that a customer may have waiting. */
-const MIN_BACKLOG = 2;
-const BACKLOG_PART = 0.5;
-/** Part of the slots that customers over their share leave free. */
-const RESERVED_PART = 0.25;
 /**
- * Items of mean cost that a customer may run at once after using less than its
- * share. At one of many targets a small share is one item in seconds, so that
- * two which happen to meet there would otherwise wait that long.
+ * A customer floods the queue when it has more items waiting than this number and
+ * than this ratio of the slots that its share entitles it to.
+ */
+const FLOOD_MIN_ITEMS = 2;
+const FLOOD_SLOT_RATIO = 0.5;
+/** Ratio of the slots that are reserved for customers in credit. */
+const RESERVED_SLOT_RATIO = 0.25;
+/**
+ * Maximum credit: items of mean cost that a customer may run at once after it has
+ * used less than its share. At one of many targets a small share amounts to one
+ * item every few seconds; without credit, the second of two items that arrive
+ * together would wait that long.
  */
 const CREDIT_ITEMS = 8;
-const COST_SMOOTHING = 0.05;
+/** Weight of the newest item in the mean cost. */
+const COST_EWMA_ALPHA = 0.05;
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 30_000;
 /** Weight of the newest sample in the estimate of the service rate. */
-const RATE_SMOOTHING = 0.1;
-/** Refused early only if the expected wait exceeds the time left by this. */
-const WAIT_TOLERANCE = 1.1;
+const RATE_EWMA_ALPHA = 0.1;
+/** Ratio of expected wait to remaining time above which an item is refused. */
+const MAX_WAIT_RATIO = 1.1;
 
-/** The queue before a target, or before a pool at an entry. */
+/** The queue of a target, or of a pool at an entry. */
 export class FairQueue<T> {
   private readonly customers = new Map<string, CustomerQueue<T>>();
   private virtualTime = 0;
@@ -82,34 +87,35 @@
   private running = 0;
   private earliestDeadline = Infinity;
   private meanCost = 0;
-  /** Cost served in a millisecond by one slot; unknown before any service. */
-  private slotRate: number | undefined;
+  /** Cost that one slot serves per millisecond; unknown before any service. */
+  private costPerSlotMs: number | undefined;
 
   constructor(private readonly limits: QueueLimits) {}
 
-  /** Items that wait. */
+  /** Number of waiting items. */
   get size(): number {
     return this.queued;
   }
 
-  /** Cost of all items that wait. */
+  /** Total cost of the waiting items. */
   get queuedCost(): number {
     let total = 0;
     for (const queue of this.customers.values()) total += queue.queuedCost;
     return total;
   }
 
+  /** Queues the item, or refuses it if the queue or its wait is too long. */
   offer(item: QueueItem<T>, nowMs: number): OfferResult {
     const queue = this.customerQueue(item);
     const waitMs = this.expectedWaitMs(item);
     const refusal = this.refusalFor(item, queue, waitMs, nowMs);
     if (refusal !== undefined) {
-      this.forgetIdle(queue);
+      this.deleteIfIdle(queue);
       return refused(refusal, waitMs);
     }
-    this.meanCost += COST_SMOOTHING * (item.cost - this.meanCost);
+    this.meanCost += COST_EWMA_ALPHA * (item.cost - this.meanCost);
     if (queue.items.length === 0) {
-      const earliest = this.virtualTime - this.credit(queue.share);
+      const earliest = this.virtualTime - this.maxCredit(queue.share);
       queue.startTag = Math.max(queue.startTag, earliest);
     }
     insertByPriority(queue.items, item);
@@ -120,22 +126,25 @@
   }
 
   /**
-   * The next item to serve, when `freeSlots` more may run; call `finished`
-   * once its service has ended.
+   * Removes and returns the next item to serve if one of `freeSlots` can run it;
+   * call `finished` once its service has ended.
    *
-   * The last free slots go to customers in credit only, as long as there are
-   * any. Without this a flood holds every slot, and a small customer waits for
-   * one to end each time, though it is the first in the queue.
+   * While some customer is in credit, the last free slots are withheld from
+   * flooding customers. Otherwise a flood holds every slot, and a small customer
+   * must wait for one of its requests to end each time, even at the head of the
+   * queue.
    */
   take(nowMs: number, freeSlots: number): QueueItem<T> | undefined {
     if (freeSlots < 1) return undefined;
     const slots = this.running + freeSlots;
-    const reserved = this.isReserved(freeSlots);
-    const perShare = reserved ? slots / this.knownShares() : Infinity;
+    const areSlotsReserved = this.reservesFreeSlots(freeSlots);
+    const slotsPerShare = areSlotsReserved
+      ? slots / this.totalShare()
+      : Infinity;
     let best: CustomerQueue<T> | undefined;
     for (const queue of this.customers.values()) {
       if (queue.running >= queue.concurrentLimit) continue;
-      if (reserved && this.isFlooding(queue, perShare)) continue;
+      if (areSlotsReserved && this.isFlooding(queue, slotsPerShare)) continue;
       if (!queue.items.some(item => item.deadlineAt > nowMs)) continue;
       if (best === undefined || queue.startTag < best.startTag) best = queue;
     }
@@ -143,7 +152,7 @@
     return this.dequeue(best, nowMs);
   }
 
-  /** Removes and returns the items whose deadline passed while they waited. */
+  /** Removes and returns the items whose deadline has passed. */
   expire(nowMs: number): readonly QueueItem<T>[] {
     if (nowMs < this.earliestDeadline) return [];
     const expired: QueueItem<T>[] = [];
@@ -160,66 +169,66 @@
           item.deadlineAt
         );
       }
-      this.forgetIdle(queue);
+      this.deleteIfIdle(queue);
     }
     return expired;
   }
 
-  /** When `expire` next has something to return; Infinity when nothing waits. */
+  /** When `expire` should next be called; Infinity when nothing waits. */
   nextExpiryAt(): number {
     return this.queued === 0 ? Infinity : this.earliestDeadline;
   }
 
-  /** All items that wait, in no particular order. */
+  /** All waiting items, in no particular order. */
   waiting(): readonly QueueItem<T>[] {
     return [...this.customers.values()].flatMap(queue => queue.items);
   }
 
-  /** Takes out one waiting item, for instance when its caller has gone. */
+  /** Removes one waiting item, for instance when its caller has disconnected. */
   remove(id: string): QueueItem<T> | undefined {
     for (const queue of this.customers.values()) {
       const item = queue.items.find(candidate => candidate.id === id);
       if (item === undefined) continue;
       this.removeFrom(queue, item);
-      this.forgetIdle(queue);
+      this.deleteIfIdle(queue);
       return item;
     }
     return undefined;
   }
 
   /**
-   * Whether the customer has used less than its share. Asked before `take`'s
-   * item is sent on, it tells a target that honours priorities to go first
-   * with what would otherwise wait behind the prompts of a flood.
+   * Whether the customer has used less than its share. Queried after `take` and
+   * before the item is sent to the target: a target that supports priorities can
+   * then prefill it before the prompts of a flood.
    */
   isInCredit(customer: string): boolean {
     const queue = this.customers.get(customer);
     return queue === undefined || queue.startTag < this.virtualTime;
   }
 
-  /** Ends the service of an item that `take` returned, whatever its outcome. */
+  /** Records the end of service of an item from `take`, whatever its outcome. */
   finished(customer: string): void {
     const queue = this.customers.get(customer);
     if (queue === undefined || queue.running === 0) return;
     queue.running--;
     this.running--;
-    this.forgetIdle(queue);
+    this.deleteIfIdle(queue);
   }
 
-  /** Feeds the estimate of the service rate with one successful service. */
+  /** Updates the estimated service rate with one successful service. */
   served(cost: number, elapsedMs: number): void {
     const rate = cost / Math.max(1, elapsedMs);
-    this.slotRate =
-      this.slotRate === undefined
+    this.costPerSlotMs =
+      this.costPerSlotMs === undefined
         ? rate
-        : this.slotRate + RATE_SMOOTHING * (rate - this.slotRate);
+        : this.costPerSlotMs + RATE_EWMA_ALPHA * (rate - this.costPerSlotMs);
   }
 
-  /** Milliseconds until such an item would be taken; 0 when unknown. */
+  /** Expected wait of such an item, milliseconds; 0 when unknown. */
   expectedWaitMs(
     item: Pick<QueueItem<T>, 'customer' | 'share' | 'cost' | 'priority'>
   ): number {
-    if (this.slotRate === undefined || this.queued === 0) return 0;
+    if (this.costPerSlotMs === undefined || this.queued === 0) return 0;
     const ownCost = this.ownCostAhead(item);
     let ahead = ownCost;
     for (const queue of this.customers.values()) {
@@ -227,12 +236,13 @@
       const fairCost = ((ownCost + item.cost) * queue.share) / item.share;
       ahead += Math.min(queue.queuedCost, fairCost);
     }
-    return ahead / (this.slotRate * Math.max(1, this.running));
+    return ahead / (this.costPerSlotMs * Math.max(1, this.running));
   }
 
-  private isReserved(freeSlots: number): boolean {
+  /** Whether the free slots are few and some customer in credit may claim them. */
+  private reservesFreeSlots(freeSlots: number): boolean {
     const slots = this.running + freeSlots;
-    if (freeSlots > Math.floor(slots * RESERVED_PART)) return false;
+    if (freeSlots > Math.floor(slots * RESERVED_SLOT_RATIO)) return false;
     for (const queue of this.customers.values())
       if (queue.items.length === 0 || queue.startTag < this.virtualTime)
         return true;
@@ -240,24 +250,24 @@
   }
 
   /**
-   * A customer with a backlog, and out of credit. A few waiting items are no
-   * flood: after the loss of a zone every customer has them for a while, and
-   * the slots are needed then.
+   * Whether a customer out of credit has a backlog. A few waiting items are not a
+   * flood: after the loss of a zone every customer has some for a while, and every
+   * slot is needed then.
    */
-  private isFlooding(queue: CustomerQueue<T>, perShare: number): boolean {
-    const entitledSlots = perShare * queue.share;
-    const backlog = Math.max(MIN_BACKLOG, entitledSlots * BACKLOG_PART);
+  private isFlooding(queue: CustomerQueue<T>, slotsPerShare: number): boolean {
+    const entitledSlots = slotsPerShare * queue.share;
+    const backlog = Math.max(FLOOD_MIN_ITEMS, entitledSlots * FLOOD_SLOT_RATIO);
     return queue.items.length > backlog && queue.startTag >= this.virtualTime;
   }
 
-  private knownShares(): number {
+  private totalShare(): number {
     let shares = 0;
     for (const queue of this.customers.values()) shares += queue.share;
     return shares;
   }
 
-  /** How far behind the virtual time a customer may start after a pause. */
-  private credit(share: number): number {
+  /** How far the start tag of a customer may lag behind the virtual time. */
+  private maxCredit(share: number): number {
     return (this.meanCost * CREDIT_ITEMS) / share;
   }
 
@@ -278,13 +288,13 @@
     nowMs: number
   ): OfferRefusal | undefined {
     if (this.queued >= this.limits.maxQueued) return 'overloaded';
-    // A flood may fill no more than the room that it leaves to others, so a
-    // small customer is never refused because of a large one's backlog.
+    // One customer may queue at most as many items as it leaves room for, so the
+    // backlog of a large customer never causes the refusal of a small one.
     const room = this.limits.maxQueued - this.queued;
     const bound = Math.min(this.limits.maxQueuedPerCustomer, room);
     if (queue.items.length >= bound) return 'customer-limit';
     const leftMs = item.deadlineAt - nowMs;
-    if (leftMs <= 0 || waitMs > leftMs * WAIT_TOLERANCE)
+    if (leftMs <= 0 || waitMs > leftMs * MAX_WAIT_RATIO)
       return 'deadline-too-short';
     return undefined;
   }
@@ -304,7 +314,7 @@
       items: [],
       queuedCost: 0,
       running: 0,
-      startTag: this.virtualTime - this.credit(item.share),
+      startTag: this.virtualTime - this.maxCredit(item.share),
     };
     this.customers.set(item.customer, queue);
     return queue;
@@ -312,7 +322,10 @@
 
   private dequeue(queue: CustomerQueue<T>, nowMs: number): QueueItem<T> {
     const item = queue.items.find(queued => queued.deadlineAt > nowMs);
-    if (item === undefined) throw new Error('take from an expired queue');
+    if (item === undefined)
+      throw new Error(
+        `no unexpired item of customer ${queue.customer} is waiting`
+      );
     this.removeFrom(queue, item);
     this.virtualTime = Math.max(this.virtualTime, queue.startTag);
     queue.startTag += item.cost / queue.share;
@@ -327,14 +340,14 @@
     this.queued--;
   }
 
-  /** Remembers a customer until it has all its credit back. */
-  private forgetIdle(queue: CustomerQueue<T>): void {
+  /** Deletes the state of an idle customer once it has regained full credit. */
+  private deleteIfIdle(queue: CustomerQueue<T>): void {
     if (this.queued === 0 && this.running === 0) {
       this.customers.clear();
       return;
     }
     if (queue.items.length > 0 || queue.running > 0) return;
-    if (queue.startTag > this.virtualTime - this.credit(queue.share)) return;
+    if (queue.startTag > this.virtualTime - this.maxCredit(queue.share)) return;
     this.customers.delete(queue.customer);
   }
 }
--- a/src/policy/ramp.ts
+++ b/src/policy/ramp.ts
@@ -1,72 +1,74 @@
 /**
- * How much a fresh target may run at once, from its first signal on.
+ * Cold-start ramp: the concurrency limit of a target from its first signal until
+ * it is warm.
  *
- * The limit grows only over time in which the target has answered under load,
- * so an idle target is no warmer for having waited, and it falls to the start
- * at any sign of cold.
+ * Only time in which the target served requests under load counts towards the
+ * ramp, because an idle target doesn't warm up. At any sign that the target is cold
+ * the limit falls back to the start.
  */
 
-/** What the operators allow; a `warmup` rule has these fields. */
+/** Bounds that operators configure; a `warmup` rule has these fields. */
 export interface WarmupLimits {
-  /** Requests at once on a target that has just started. */
+  /** Concurrency limit of a target that has just started. */
   readonly start: number;
-  /** Requests at once on a warm target. */
+  /** Concurrency limit of a warm target. */
   readonly full: number;
-  /** Least time from start to full, under load. */
+  /** Minimum time from `start` to `full` under load. */
   readonly overMs: number;
 }
 
-/** Where a target stands in its ramp. */
+/** Progress of one target in its ramp. */
 export interface RampState {
-  /** Requests at once that it has shown to bear; undefined: at the start. */
+  /** Proven concurrency; undefined while the ramp is at the start. */
   readonly level: number | undefined;
-  /** Until when time under load has been credited. */
+  /** Time up to which load has been counted. */
   readonly creditedAtMs: number;
-  /** Since when it has been taken for cold or strained. */
+  /** When the ramp last started. */
   readonly sinceMs: number;
-  /** Whether it has come to full since then. */
+  /** Whether the ramp has reached `full` since it last started. */
   readonly complete: boolean;
-  /** How many times slower than the rule the ramp goes. */
-  readonly caution: number;
+  /** Factor by which the ramp takes longer than the rule says. */
+  readonly durationFactor: number;
 }
 
-/** One request that the target answered well. */
+/** One successful response of the target. */
 export interface RampSample {
   readonly nowMs: number;
-  /** When the target began the request. */
+  /** When the target started the request. */
   readonly startedAtMs: number;
-  /** Requests that ran at the end, this one included. */
+  /** Requests that were running when it ended, including this one. */
   readonly outstanding: number;
-  /** Its latency over that of a lightly loaded target; 1 when unknown. */
+  /** Ratio of its latency to that of a lightly loaded target; 1 if unknown. */
   readonly slowdown: number;
 }
 
-/** Part of the limit that must be in use for the limit to grow at all. */
-const MIN_USE = 0.25;
+/** Utilization of the limit below which it doesn't grow. */
+const MIN_UTILIZATION = 0.25;
 /**
- * The rule gives the least time. A target that is loaded below what it bears
- * warms a little slower, and the end of the square would overtake it.
+ * Growth relative to the rule, which only sets the minimum time. A target that is
+ * loaded below its capacity warms slightly slower than the rule, and at the end of
+ * the quadratic curve the limit would exceed its capacity.
  */
-const PACE = 0.85;
-/** Latency over the unloaded one at which growth stops. */
+const GROWTH_RATE = 0.85;
+/** Ratio of latency to unloaded latency at which growth stops. */
 const HOLD_SLOWDOWN = 2;
-/** Latency over the unloaded one at which the limit shrinks. */
+/** Ratio of latency to unloaded latency at which the limit shrinks. */
 const SHRINK_SLOWDOWN = 2.4;
-const MAX_CAUTION = 4;
+const MAX_DURATION_FACTOR = 4;
 const SHRINK_FACTOR = 0.7;
 
-/** A target that has just started, or whose past isn't known. */
+/** State of a target that has just started or whose history is unknown. */
 export function freshRamp(nowMs: number): RampState {
   return {
     level: undefined,
     creditedAtMs: nowMs,
     sinceMs: nowMs,
     complete: false,
-    caution: 1,
+    durationFactor: 1,
   };
 }
 
-/** Requests that the target may run at once, at least 1. */
+/** Returns the concurrency limit of the target, at least 1. */
 export function rampLimit(
   state: RampState,
   rule: WarmupLimits,
@@ -75,12 +77,12 @@
   return Math.max(1, Math.floor(currentLevel(state, rule)));
 }
 
-/** Whether the target bears all that the rule allows. */
+/** Whether the limit has reached `full`. */
 export function rampComplete(state: RampState, rule: WarmupLimits): boolean {
   return currentLevel(state, rule) >= rule.full;
 }
 
-/** Grows, holds or shrinks the limit after a good answer. */
+/** Grows, holds or shrinks the limit after a successful response. */
 export function rampServed(
   state: RampState,
   rule: WarmupLimits,
@@ -89,30 +91,35 @@
   const level = currentLevel(state, rule);
   const creditedAtMs = Math.max(state.creditedAtMs, sample.nowMs);
   if (sample.slowdown >= SHRINK_SLOWDOWN) {
-    // From what runs, not from the last limit: what runs ends slowly, and a
-    // limit cut anew with each sample meanwhile would fall to the start.
-    const eased = sample.outstanding * SHRINK_FACTOR;
+    // Shrinks relative to the running requests, not to the last limit: they end
+    // slowly, and cutting the limit with each sample meanwhile would drop it to the
+    // start.
+    const reduced = sample.outstanding * SHRINK_FACTOR;
     const lowest = Math.min(rule.start, level);
-    const shrunk = Math.min(level, Math.max(lowest, eased));
+    const shrunk = Math.min(level, Math.max(lowest, reduced));
     return {...state, level: shrunk, creditedAtMs};
   }
-  const use = Math.min(1, sample.outstanding / Math.max(1, Math.floor(level)));
-  if (use < MIN_USE || sample.slowdown >= HOLD_SLOWDOWN)
+  const utilization = Math.min(
+    1,
+    sample.outstanding / Math.max(1, Math.floor(level))
+  );
+  if (utilization < MIN_UTILIZATION || sample.slowdown >= HOLD_SLOWDOWN)
     return {...state, level, creditedAtMs};
   const from = Math.max(state.creditedAtMs, sample.startedAtMs);
   const creditMs = Math.max(0, sample.nowMs - from);
-  const pace = PACE / state.caution;
-  const part = (use * creditMs * pace) / Math.max(1, rule.overMs);
-  const grown = grow(level, rule, part);
+  const rate = GROWTH_RATE / state.durationFactor;
+  const progressGain =
+    (utilization * creditMs * rate) / Math.max(1, rule.overMs);
+  const grown = grow(level, rule, progressGain);
   const complete = state.complete || grown >= rule.full;
   return {...state, level: grown, creditedAtMs, complete};
 }
 
 /**
- * Call before a changed rule comes into force, with the rule until then. A
- * target that has not answered yet holds no level of its own: under a raised
- * start its limit would jump at once, while it works on what it got cold. Time
- * under the former rule earns nothing under the new and perhaps steeper one.
+ * Call before a changed rule is applied, with the old rule. A target without a
+ * response yet has no proven level: with a raised `start` its limit would jump at
+ * once, while it still runs the requests that it got when cold. Time under the old
+ * rule doesn't count under the new one, which may be steeper.
  */
 export function rampRuleChanged(
   state: RampState,
@@ -125,9 +132,9 @@
 }
 
 /**
- * Back to the start: lost connection, new boot, silence, or a cold report.
- * One that turned cold on its way up may have been given too much: at the same
- * pace it would fall over again and again, so the next ramp is slower.
+ * Restarts the ramp after a lost connection, a new boot, silence or a cold report.
+ * A target that became cold during its ramp may have been overloaded, and with the
+ * same ramp it would fail again and again, so its next ramp is slower.
  */
 export function rampCold(state: RampState, nowMs: number): RampState {
   return {
@@ -135,33 +142,40 @@
     creditedAtMs: Math.max(nowMs, state.creditedAtMs),
     sinceMs: nowMs,
     complete: false,
-    caution: nextCaution(state),
+    durationFactor: nextDurationFactor(state),
   };
 }
 
-function nextCaution({level, complete, caution}: RampState): number {
+function nextDurationFactor({
+  level,
+  complete,
+  durationFactor,
+}: RampState): number {
   if (complete) return 1;
-  return level === undefined ? caution : Math.min(MAX_CAUTION, caution * 2);
+  return level === undefined
+    ? durationFactor
+    : Math.min(MAX_DURATION_FACTOR, durationFactor * 2);
 }
 
 /**
- * The next level after a part of the rule's time under load. The curve is a
- * square: as soon at full as a straight line, but below it all the way, since
- * what a fresh target bears grows slowly at first (caches, compilation) and
- * one request too many makes it fall over.
+ * Returns the level after further progress, a ratio of the rule's time. The curve
+ * is quadratic: it reaches `full` when a straight line would, but stays below that
+ * line, because the capacity of a fresh target grows slowly at first (caches,
+ * compilation) and one request too many makes it fail.
  */
-function grow(level: number, rule: WarmupLimits, part: number): number {
+function grow(level: number, rule: WarmupLimits, progressGain: number): number {
   const span = rule.full - rule.start;
   if (span <= 0) return rule.full;
-  if (level < rule.start) return Math.min(rule.start, level + span * part);
-  const progress = Math.sqrt((level - rule.start) / span) + part;
+  if (level < rule.start)
+    return Math.min(rule.start, level + span * progressGain);
+  const progress = Math.sqrt((level - rule.start) / span) + progressGain;
   return Math.min(rule.full, rule.start + span * progress * progress);
 }
 
 /**
- * The level is kept in requests, not as progress: a rule that raises start or
- * full mid-ramp would otherwise lift the limit at once, past what the target
- * has shown to bear. A lower full applies at once.
+ * The level is stored in requests, not as progress: otherwise a rule that raises
+ * `start` or `full` during the ramp would lift the limit at once, beyond the proven
+ * level. A lower `full` applies at once.
  */
 function currentLevel(state: RampState, rule: WarmupLimits): number {
   return Math.min(rule.full, state.level ?? rule.start);
--- a/src/policy/recentPrompts.ts
+++ b/src/policy/recentPrompts.ts
@@ -1,29 +1,29 @@
 /**
- * Prompt tokens that an entry has sent to a target a moment ago. A target takes
- * prompts in one after the other, and no report is quick enough to tell of the
- * ones that wait; the entry knows its own.
+ * Estimates how many of the prompt tokens that an entry sent to a target are still
+ * waiting for prefill. A target prefills one prompt after the other, and no report
+ * is fast enough to show those that wait, but the entry knows its own.
  */
 
-/** Tokens as they stood at a time; they fade from then on. */
+/** Pending tokens at a point in time; they decay exponentially from then on. */
 export interface RecentPrompts {
   readonly tokens: number;
   readonly atMs: number;
 }
 
-/** Nothing sent. */
+/** State of a target to which no prompt was sent. */
 export const NO_PROMPTS: RecentPrompts = {tokens: 0, atMs: 0};
 
-/** About the time in which a target under load takes in a prompt. */
+/** Approximate time in which a target under load prefills a prompt. */
 const HALF_LIFE_MS = 150;
 
-/** Tokens that are likely still to be taken in. */
+/** Estimated tokens that still wait for prefill. */
 export function promptsLeft(recent: RecentPrompts, nowMs: number): number {
   if (recent.tokens === 0) return 0;
   const ageMs = Math.max(0, nowMs - recent.atMs);
   return recent.tokens * Math.pow(0.5, ageMs / HALF_LIFE_MS);
 }
 
-/** The same with one more prompt, sent now. */
+/** Returns the state after one more prompt, sent now. */
 export function withPrompt(
   recent: RecentPrompts,
   tokens: number,
--- a/src/policy/subset.ts
+++ b/src/policy/subset.ts
@@ -1,28 +1,28 @@
 /**
- * Which targets of a pool one entry follows, by rendezvous hashing. Pure, and
- * without memory: control instances that hear of the same targets choose the
- * same ones, a target that comes or goes moves only its own places, and an
- * entry that comes or goes moves nobody else's.
+ * Chooses the subset of a pool's targets that one entry uses, by rendezvous hashing.
+ * The choice is a pure function: control instances that know the same targets choose
+ * the same subsets. A target that joins or leaves changes only its own membership,
+ * and an entry that joins or leaves changes the subset of no other entry.
  */
 
 import murmurhash from 'murmurhash';
 
-/** A target that may be followed. */
+/** A target that may be chosen for a subset. */
 export interface SubsetCandidate {
   readonly targetId: string;
   readonly availabilityZone: string;
-  /** Whether it may take new work now; the others only fill up. */
+  /** Whether it accepts new work now; other targets only fill up the subset. */
   readonly usable: boolean;
-  /** `targetKey` of `targetId`, kept since it is hashed for every entry. */
+  /** `targetKey` of `targetId`; cached because it is hashed for every entry. */
   readonly key: Uint8Array;
 }
 
-/** Seed of an entry's ranking, from its name. */
+/** Returns the hash seed of an entry's ranking. */
 export function entrySeed(entryName: string): number {
   return murmurhash.v3(entryName, 0);
 }
 
-/** What a target is ranked by. */
+/** Returns the bytes that are hashed to rank a target. */
 export function targetKey(targetId: string): Uint8Array {
   return new TextEncoder().encode(targetId);
 }
@@ -33,10 +33,10 @@
 }
 
 /**
- * The `size` usable candidates that rank highest for this entry, and the
- * highest of each zone that would be without one: a zone that is lost must
- * leave the entry others to go to. Those that may take no work are taken only
- * where the usable ones are too few.
+ * Returns the `size` usable candidates that rank highest for this entry, plus the
+ * highest of each zone that has none among them, so that the loss of a zone leaves
+ * the entry other targets. Unusable candidates are added only if there are too few
+ * usable ones.
  */
 export function chooseSubset<C extends SubsetCandidate>(
   seed: number,
@@ -49,7 +49,7 @@
   for (const candidate of candidates) {
     if (!candidate.usable) continue;
     const ranked = rank(seed, candidate);
-    keepBest(best, ranked, size);
+    insertIfRanked(best, ranked, size);
     const known = bestOfZone.get(candidate.availabilityZone);
     if (known === undefined || isHigher(ranked, known))
       bestOfZone.set(candidate.availabilityZone, ranked);
@@ -59,18 +59,19 @@
   for (const [zone, {candidate}] of bestOfZone)
     if (!zones.has(zone)) chosen.push(candidate);
   return chosen.length < size
-    ? [...chosen, ...fill(seed, candidates, size - chosen.length)]
+    ? [...chosen, ...highestUnusable(seed, candidates, size - chosen.length)]
     : chosen;
 }
 
-function fill<C extends SubsetCandidate>(
+/** Returns the `size` highest-ranked unusable candidates. */
+function highestUnusable<C extends SubsetCandidate>(
   seed: number,
   candidates: readonly C[],
   size: number
 ): readonly C[] {
   const best: Ranked<C>[] = [];
   for (const candidate of candidates)
-    if (!candidate.usable) keepBest(best, rank(seed, candidate), size);
+    if (!candidate.usable) insertIfRanked(best, rank(seed, candidate), size);
   return best.map(ranked => ranked.candidate);
 }
 
@@ -81,18 +82,18 @@
   return {candidate, score: murmurhash.v3(candidate.key, seed)};
 }
 
-/** `best` is in descending order and holds `size` at most. */
-function keepBest<C extends SubsetCandidate>(
+/** Inserts into `best`, which is in descending order and limited to `size`. */
+function insertIfRanked<C extends SubsetCandidate>(
   best: Ranked<C>[],
   ranked: Ranked<C>,
   size: number
 ): void {
   const last = best[size - 1];
   if (last !== undefined && !isHigher(ranked, last)) return;
-  let at = Math.min(best.length, size - 1);
-  for (; at > 0 && isHigher(ranked, best[at - 1]!); at--)
-    best[at] = best[at - 1]!;
-  best[at] = ranked;
+  let index = Math.min(best.length, size - 1);
+  for (; index > 0 && isHigher(ranked, best[index - 1]!); index--)
+    best[index] = best[index - 1]!;
+  best[index] = ranked;
 }
 
 function isHigher<C extends SubsetCandidate>(
--- a/src/policy/zoneReturn.ts
+++ b/src/policy/zoneReturn.ts
@@ -1,48 +1,48 @@
-/** Shares while an availability zone returns, and what to shed without it. */
+/** Load ramp of a returning availability zone, and load shedding by customer. */
 
-/** When a zone came back; undefined when it has been in service all along. */
+/** A zone and when it came back; undefined if it was never out of service. */
 export interface ZoneReturn {
   readonly availabilityZone: string;
   readonly returnedAtMs: number | undefined;
 }
 
-/** Demand of one customer, in cost a second. */
+/** Demand of one customer at one priority, in cost per second. */
 export interface CustomerDemand {
   readonly customer: string;
   /** Weight of the customer, above 0. */
   readonly share: number;
-  /** Higher is kept longer. */
+  /** Within a customer, lower priorities are shed first. */
   readonly priority: number;
   readonly demand: number;
 }
 
-/** What a customer may use of the capacity that is left. */
+/** Part of the remaining capacity that is allowed for one demand. */
 export interface CustomerAllowance {
   readonly customer: string;
   readonly priority: number;
-  /** Cost a second. */
+  /** Allowed demand, in cost per second. */
   readonly allowed: number;
-  /** Part of its demand that is to be refused, 0 to 1. */
-  readonly shedPart: number;
+  /** Ratio of the demand to refuse, 0 to 1. */
+  readonly shedRatio: number;
 }
 
-/** Part of the normal share that a returning zone gets at first. */
-const FIRST_WEIGHT = 0.1;
-/** Time from the return to the normal share. */
-const RETURN_MS = 10_000;
+/** Ratio of its normal load that a returning zone gets at first. */
+const INITIAL_WEIGHT = 0.1;
+/** Time from the return until the normal load. */
+const RAMP_UP_MS = 10_000;
 
-/** Part of its normal share that a zone gets now, above 0 and up to 1. */
+/** Ratio of its normal load that a zone gets now, above 0 and up to 1. */
 export function zoneWeight(zone: ZoneReturn, nowMs: number): number {
   if (zone.returnedAtMs === undefined) return 1;
-  const elapsed = Math.max(0, nowMs - zone.returnedAtMs) / RETURN_MS;
-  return Math.min(1, FIRST_WEIGHT + (1 - FIRST_WEIGHT) * elapsed);
+  const elapsed = Math.max(0, nowMs - zone.returnedAtMs) / RAMP_UP_MS;
+  return Math.min(1, INITIAL_WEIGHT + (1 - INITIAL_WEIGHT) * elapsed);
 }
 
 /**
- * Divides the capacity: within each priority by weighted max-min shares, a
- * higher priority first only up to each customer's own fair share of the
- * whole. So the lowest priority and what is over a share are shed first, and
- * no customer loses its share to another one's urgent work.
+ * Divides the capacity among customers by weighted max-min fairness, and the fair
+ * share of each customer among its demands, higher priorities first. Thus demand
+ * beyond a share and the lowest priorities are shed first, and no customer loses its
+ * share to urgent work of another one.
  */
 export function allowances(
   demands: readonly CustomerDemand[],
@@ -56,9 +56,9 @@
       const available = left.get(demand.customer) ?? 0;
       const allowed = Math.min(demand.demand, available);
       left.set(demand.customer, available - allowed);
-      const shedPart = demand.demand === 0 ? 0 : 1 - allowed / demand.demand;
+      const shedRatio = demand.demand === 0 ? 0 : 1 - allowed / demand.demand;
       const {customer, priority} = demand;
-      return {customer, priority, allowed, shedPart};
+      return {customer, priority, allowed, shedRatio};
     });
 }
 
@@ -79,14 +79,16 @@
   return [...totals.values()];
 }
 
-/** Weighted max-min: nobody gets more than it asks, the rest is divided on. */
+/** Weighted max-min: caps each customer at its demand and divides the rest. */
 function fairShares(
   totals: readonly CustomerTotal[],
   capacity: number
 ): ReadonlyMap<string, number> {
   const result = new Map<string, number>();
-  const need = (total: CustomerTotal) => total.demand / total.share;
-  const ascending = [...totals].sort((a, b) => need(a) - need(b));
+  const demandPerShare = (total: CustomerTotal) => total.demand / total.share;
+  const ascending = [...totals].sort(
+    (a, b) => demandPerShare(a) - demandPerShare(b)
+  );
   let left = capacity;
   let shares = ascending.reduce((sum, total) => sum + total.share, 0);
   for (const total of ascending) {
--- a/tests/balance.spec.ts
+++ b/tests/balance.spec.ts
@@ -32,7 +32,7 @@
   };
 }
 
-/** How often each target is chosen out of a thousand. */
+/** Counts how often each target is chosen in a thousand choices. */
 function counts(targets: readonly TargetView[]): ReadonlyMap<string, number> {
   const random = new SeededRandom(7);
   const result = new Map<string, number>();
@@ -47,8 +47,8 @@
 const chosenMost = (targets: readonly TargetView[]) =>
   [...counts(targets)].sort((a, b) => b[1] - a[1])[0]?.[0];
 
-describe('choice of target', () => {
-  it('should choose none when none may take work', () => {
+describe('choice of a target by a sample', () => {
+  it('should choose none when every limit is 0', () => {
     expect(chooseTarget(REQ, [], () => 0)).toBeUndefined();
     const out = [view('a', {limit: 0}), view('b', {limit: 0})];
     expect(chooseTarget(REQ, out, () => 0)).toBeUndefined();
@@ -65,7 +65,7 @@
   it.each([
     ['a straggler in its group', {groupStraggle: 2}],
     ['recent failures', {recentFailures: 3}],
-    ['a place in another zone', {availabilityZone: 'zone-b'}],
+    ['a location in another zone', {availabilityZone: 'zone-b'}],
     ['requests sent since its report', {ownSinceReport: 6}],
     ['a queue', {reportedQueued: 8}],
     ['prompts sent a moment ago', {ownPromptTokens: 2000}],
@@ -74,9 +74,9 @@
     expect(chosen.get('a') ?? 0).toBeLessThan(chosen.get('b') ?? 0);
   });
 
-  // A flood waits at all gates, at one a little longer. A small customer passes
-  // it there, but would wait behind the prompts that the engine still takes in.
-  it("should mind a flood's backlog less than prompts", () => {
+  // A flood is queued at every target, at one a little longer. The fair queue lets a
+  // small customer pass it, but pending prompts at the engine would delay it.
+  it("should weigh a flood's backlog less than pending prompts", () => {
     const full = {reportedOutstanding: 32, reportedQueued: 32};
     const longer = view('a', {...full, reportedQueued: 48});
     const prompts = view('b', {...full, ownPromptTokens: 1500});
@@ -84,16 +84,16 @@
     expect(chosenMost([longer, view('b', full)])).toBe('b');
   });
 
-  it('should leave the zone rather than pile up in it', () => {
+  it('should choose another zone when the local target is loaded', () => {
     const local = view('local', {reportedOutstanding: 30});
     const remote = view('remote', {availabilityZone: 'zone-b'});
     expect(chosenMost([local, remote])).toBe('remote');
   });
 
-  it('should not herd onto the one target that looked idle', () => {
-    // Several entries hold the same seconds-old report of one idle target
-    // among twenty. If each sent everything there, it would be the most
-    // loaded one long before its next report.
+  it('should not send all requests to the one target that looks idle', () => {
+    // Several entries have the same report, seconds old, of one idle target among
+    // twenty. If each sent everything there, it would become the most loaded target
+    // long before its next report.
     const idle = view('idle', {reportedOutstanding: 0, reportAgeMs: 3000});
     const others = Array.from({length: 19}, (_, i) =>
       view(`t${i}`, {reportAgeMs: 3000})
@@ -110,7 +110,7 @@
     expect(counts([busy, ...others]).get('holder') ?? 0).toBe(0);
   });
 
-  it('should trust an old report less than a new one', () => {
+  it('should weigh an old report less than a new one', () => {
     const idleLongAgo = {reportedOutstanding: 4, reportAgeMs: 20_000};
     const lately = view('lately', {reportedOutstanding: 6});
     const others = [view('a'), view('b')];
@@ -118,7 +118,7 @@
     expect(chosenMost([longAgo, lately, ...others])).toBe('lately');
   });
 
-  it('should send no more to a cold target than it may run', () => {
+  it('should send a cold target no more than its limit', () => {
     const cold = view('cold', {
       temperature: 'cold',
       limit: 4,
@@ -130,7 +130,7 @@
     expect(counts([cold, busy]).get('cold') ?? 0).toBe(0);
   });
 
-  it('should give a returning target its part of the share only', () => {
+  it('should choose a target of a returning zone by its reduced weight', () => {
     const returning = view('back', {
       returnWeight: 0.1,
       reportedOutstanding: 0,
@@ -143,7 +143,7 @@
     expect(weighed).toBeLessThan(unweighed / 2);
   });
 
-  it('should count cached prompt tokens out of the cost', () => {
+  it('should exclude cached prompt tokens from the cost', () => {
     expect(requestCost(REQ)).toBeGreaterThan(requestCost(REQ, 900));
     expect(requestCost({promptTokens: 0, outputTokens: 0})).toBe(1);
   });
--- a/tests/enginePriority.spec.ts
+++ b/tests/enginePriority.spec.ts
@@ -1,9 +1,9 @@
 import {enginePriority} from '../src/policy/enginePriority';
 
 describe('engine priority', () => {
-  it('should put new prompts before resumed ones, and credit first', () => {
-    // A zone is lost and a third of all streams resume at the same moment.
-    // Their long prompts must not hold up the first token of new requests.
+  it('should rank new prompts before resumed ones, and customers in credit first', () => {
+    // After the loss of a zone a third of all streams resume at the same moment.
+    // Their long prompts must not delay the first token of new requests.
     const order = [
       enginePriority({inCredit: true, resumed: false}),
       enginePriority({inCredit: false, resumed: false}),
--- a/tests/fairQueue.spec.ts
+++ b/tests/fairQueue.spec.ts
@@ -41,7 +41,7 @@
 }
 
 describe('fair queue', () => {
-  it('should divide cost by the shares of those who wait', () => {
+  it('should divide the served cost by the shares of waiting customers', () => {
     const queue = new FairQueue<string>({
       maxQueued: 1000,
       maxQueuedPerCustomer: 400,
@@ -54,7 +54,7 @@
     expect((large * 10) / (small * 20)).toBeCloseTo(3, 0);
   });
 
-  it('should put the higher priority first among one customer’s items only', () => {
+  it('should compare priorities only among items of the same customer', () => {
     const queue = new FairQueue<string>(LIMITS);
     queue.offer(item('a', {payload: 'low'}), 0);
     queue.offer(item('a', {payload: 'high', priority: 9}), 0);
@@ -65,9 +65,9 @@
   });
 
   it('should keep room for others while one customer floods', () => {
-    // A large customer sends a hundred requests at once. Had it filled the
-    // whole queue, the next small customer would be refused as overloaded,
-    // though it is far below its share.
+    // A large customer sends a hundred requests at once. If it could fill the
+    // whole queue, a small customer far below its share would be refused as
+    // overloaded.
     const queue = new FairQueue<string>({
       maxQueued: 20,
       maxQueuedPerCustomer: 100,
@@ -80,7 +80,7 @@
     expect(queue.offer(item('small'), 0)).toEqual({kind: 'queued'});
   });
 
-  it('should refuse beyond the bound of one customer and of all', () => {
+  it('should refuse beyond the limits per customer and in total', () => {
     const queue = new FairQueue<string>({
       maxQueued: 8,
       maxQueuedPerCustomer: 2,
@@ -97,7 +97,7 @@
     expect(other.offer(item('a'), 0)).toMatchObject({reason: 'customer-limit'});
   });
 
-  it('should refuse at once what would wait past its deadline', () => {
+  it('should refuse an item at once that would wait past its deadline', () => {
     const queue = new FairQueue<string>(LIMITS);
     fill(queue, 1, 'a');
     queue.take(0, 1);
@@ -111,10 +111,10 @@
     expect(other).toEqual({kind: 'queued'});
   });
 
-  it('should hand out expired items once and never serve them', () => {
-    // The caller's deadline passes while the request waits. Served then, it
-    // would take a slot for an answer that nobody waits for; never handed
-    // out, its caller would get no answer at all.
+  it('should return expired items once and never serve them', () => {
+    // The deadline of a request passes while it waits. Serving it would spend a
+    // slot on a response that nobody waits for; if it were never returned, its
+    // caller would get no response at all.
     const queue = new FairQueue<string>(LIMITS);
     queue.offer(item('a', {payload: 'dead', deadlineAt: 100}), 0);
     queue.offer(item('a', {payload: 'alive', deadlineAt: 900}), 0);
@@ -125,7 +125,7 @@
     expect(queue.size).toBe(0);
   });
 
-  it('should let a small customer in while a flood holds all other slots', () => {
+  it('should serve a small customer while a flood holds all other slots', () => {
     const queue = new FairQueue<string>(LIMITS);
     queue.offer(item('small'), 0);
     queue.take(0, 8);
@@ -146,9 +146,9 @@
   });
 
   it('should use every slot while nobody has more than a few waiting', () => {
-    // A zone is lost, and the targets of the others get half as much again.
-    // Every customer has an item or two waiting for a while. Slots kept free
-    // now would turn a short queue into a long one.
+    // After the loss of a zone, targets of the other zones get 1.5 times the load,
+    // and every customer has an item or two waiting for a while. Reserved slots
+    // would then turn a short queue into a long one.
     const queue = new FairQueue<string>(LIMITS);
     for (const customer of ['a', 'b', 'c', 'd'])
       fill(queue, 3, customer, {share: 2});
@@ -157,7 +157,7 @@
     expect(free).toBe(0);
   });
 
-  it('should keep a customer to its limit of requests at once', () => {
+  it('should keep a customer within its concurrency limit', () => {
     const queue = new FairQueue<string>(LIMITS);
     fill(queue, 5, 'a', {concurrentLimit: 2});
     queue.take(0, 9);
@@ -167,7 +167,7 @@
     expect(queue.take(0, 8)?.customer).toBe('a');
   });
 
-  it('should not let a long pause save up more than the bounded credit', () => {
+  it('should not accumulate more than the bounded credit in a long pause', () => {
     const queue = new FairQueue<string>({
       maxQueued: 2000,
       maxQueuedPerCustomer: 900,
@@ -183,12 +183,12 @@
     expect(first).toBeLessThanOrEqual(12);
   });
 
-  it('should take out a waiting item whose caller has gone', () => {
+  it('should remove a waiting item whose caller has disconnected', () => {
     const queue = new FairQueue<string>(LIMITS);
-    const gone = item('a');
-    queue.offer(gone, 0);
-    expect(queue.remove(gone.id)).toBe(gone);
-    expect(queue.remove(gone.id)).toBeUndefined();
+    const removed = item('a');
+    queue.offer(removed, 0);
+    expect(queue.remove(removed.id)).toBe(removed);
+    expect(queue.remove(removed.id)).toBeUndefined();
     expect(queue.take(0, 1)).toBeUndefined();
   });
 });
--- a/tests/limits.spec.ts
+++ b/tests/limits.spec.ts
@@ -11,24 +11,24 @@
 import {allowances, zoneWeight} from '../src/policy/zoneReturn';
 
 describe('retry budget', () => {
-  it('should allow the percentage of requests as retries, and no more', () => {
+  it('should allow exactly the percentage of requests as retries', () => {
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
     for (let i = 0; i < 200; i++) budget.request();
     const allowed = Array.from({length: 100}, () => budget.tryRetry(0));
     expect(allowed.filter(Boolean)).toHaveLength(20);
   });
 
-  it('should bound what a long calm can save up for an outage', () => {
-    // After hours without a failure every target fails at once. Unbounded
-    // savings would let each request be retried, and double the load on the
-    // targets just as they come back.
+  it('should bound the retries accumulated over a long calm period', () => {
+    // After hours without a failure every target fails at once. Without a bound,
+    // every request could be retried, which would double the load on the targets
+    // just as they recover.
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
     for (let i = 0; i < 1_000_000; i++) budget.request();
     const allowed = Array.from({length: 1000}, () => budget.tryRetry(0));
     expect(allowed.filter(Boolean).length).toBeLessThanOrEqual(51);
   });
 
-  it('should let a quiet entry retry at the floor', () => {
+  it('should allow a quiet entry the minimum rate of retries', () => {
     const budget = new RetryBudget({percent: 10, minPerSecond: 1}, 0);
     budget.tryRetry(0);
     budget.tryRetry(0);
@@ -37,7 +37,7 @@
     expect(budget.tryRetry(500)).toBe(false);
   });
 
-  it('should cover the replacements of a lost zone, yet bound them', () => {
+  it('should allow the replacements after a lost zone, but bound them', () => {
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
     for (let i = 0; i < 200; i++) budget.request();
     const replaced = Array.from({length: 300}, () => budget.tryReplace(0));
@@ -46,7 +46,7 @@
     expect(allowed).toBeLessThanOrEqual(120);
   });
 
-  it('should cut savings when the rule shrinks the budget', () => {
+  it('should cut accumulated retries when the rule shrinks the budget', () => {
     const budget = new RetryBudget({percent: 50, minPerSecond: 0}, 0);
     for (let i = 0; i < 1000; i++) budget.request();
     budget.configure({percent: 0, minPerSecond: 0});
@@ -79,9 +79,9 @@
     expect(concurrencyLimit(worse, BOUNDS)).toBeLessThanOrEqual(12);
   });
 
-  it('should give a target that is slow for good its limit back', () => {
-    // The target got four times slower, with few requests as with many. Its
-    // limit shrinks at first; kept down for ever it would waste the target.
+  it('should restore the limit of a target that stays slow', () => {
+    // The target became four times slower at any load. Its limit shrinks at first;
+    // if it never recovered, capacity of the target would be wasted.
     const calm = observed(freshConcurrency(BOUNDS), 10, 300);
     const low = observed(calm, 40, 400);
     expect(concurrencyLimit(low, BOUNDS)).toBeLessThanOrEqual(12);
@@ -89,17 +89,17 @@
     expect(concurrencyLimit(slow, BOUNDS)).toBe(32);
   });
 
-  it('should grow again once the latency is back', () => {
+  it('should grow again once the latency has recovered', () => {
     const calm = observed(freshConcurrency(BOUNDS), 10, 300);
     const low = observed(calm, 40, 400);
     const back = observed(low, 10, 2000);
     expect(concurrencyLimit(back, BOUNDS)).toBe(32);
   });
 
-  it('should not shut a target whose answers differ in length', () => {
-    // Answers take from a fifth to five times their estimate, as answers do
-    // that stop early or run long. Judged by the quickest one ever seen, each
-    // usual answer looks slow, and the limit falls to the start at any load.
+  it('should not shrink the limit when responses differ in length', () => {
+    // Responses take from a fifth to five times their estimate, because some stop
+    // early and some run long. Compared to the fastest response so far, every
+    // normal one would look slow, and the limit would fall to its minimum.
     const random = new SeededRandom(5);
     let state = freshConcurrency(BOUNDS);
     for (let i = 0; i < 5000; i++) {
@@ -109,7 +109,7 @@
     expect(concurrencyLimit(state, BOUNDS)).toBe(32);
   });
 
-  it('should not grow while it is not used', () => {
+  it('should not grow while it is not utilized', () => {
     const low = {...freshConcurrency(BOUNDS), limit: 8};
     const idle = observeLatency({...low, samples: 100}, BOUNDS, {
       latencyMs: 10,
@@ -118,7 +118,7 @@
     expect(concurrencyLimit(idle, BOUNDS)).toBe(8);
   });
 
-  it('should learn the latency of a ramping target, and leave its limit', () => {
+  it('should record the latency of a ramping target without changing its limit', () => {
     let state = observed(freshConcurrency(BOUNDS), 10, 300);
     for (let i = 0; i < 2000; i++) state = learnLatency(state, 40);
     expect(concurrencyLimit(state, BOUNDS)).toBe(32);
@@ -129,7 +129,7 @@
 describe('returning zone', () => {
   const zone = {availabilityZone: 'zone-b', returnedAtMs: 1000};
 
-  it('should get a small share at first and all of it in the end', () => {
+  it('should get little load at first and all of it in the end', () => {
     expect(zoneWeight(zone, 1000)).toBeLessThan(0.2);
     expect(zoneWeight(zone, 6000)).toBeLessThan(zoneWeight(zone, 9000));
     expect(zoneWeight(zone, 60_000)).toBe(1);
@@ -137,7 +137,7 @@
   });
 });
 
-describe('shedding', () => {
+describe('load shedding', () => {
   const demand = (customer: string, share: number, priority: number) => ({
     customer,
     share,
@@ -145,30 +145,30 @@
     demand: 60,
   });
 
-  it('should shed nothing while the capacity carries all', () => {
+  it('should shed nothing while the capacity suffices', () => {
     const result = allowances([demand('a', 1, 0), demand('b', 2, 0)], 200);
-    expect(result.map(({shedPart}) => shedPart)).toEqual([0, 0]);
+    expect(result.map(({shedRatio}) => shedRatio)).toEqual([0, 0]);
   });
 
-  it('should shed what is over a share first', () => {
+  it('should shed demand beyond the share first', () => {
     const result = allowances([demand('a', 1, 0), demand('b', 3, 0)], 80);
     expect(result).toEqual([
       expect.objectContaining({customer: 'a', allowed: 20}),
-      expect.objectContaining({customer: 'b', allowed: 60, shedPart: 0}),
+      expect.objectContaining({customer: 'b', allowed: 60, shedRatio: 0}),
     ]);
   });
 
   it('should shed the lowest priority of a customer first, not of others', () => {
-    // A large customer calls all its work urgent. That may displace its own
-    // other work, and must not displace a small customer's share.
+    // A large customer marks all its work as urgent. That may displace its own
+    // other work, but not the share of a small customer.
     const result = allowances(
       [demand('a', 1, 9), demand('a', 1, 0), demand('b', 1, 0)],
       90
     );
     expect(result).toEqual([
-      {customer: 'a', priority: 9, allowed: 45, shedPart: 0.25},
-      {customer: 'a', priority: 0, allowed: 0, shedPart: 1},
-      {customer: 'b', priority: 0, allowed: 45, shedPart: 0.25},
+      {customer: 'a', priority: 9, allowed: 45, shedRatio: 0.25},
+      {customer: 'a', priority: 0, allowed: 0, shedRatio: 1},
+      {customer: 'b', priority: 0, allowed: 45, shedRatio: 0.25},
     ]);
   });
 });
--- a/tests/policyModels.spec.ts
+++ b/tests/policyModels.spec.ts
@@ -3,7 +3,7 @@
 
 const SEEDS = 100;
 
-describe('load decisions under seeded schedules', () => {
+describe('fuzz models of queue and ramp under seeded schedules', () => {
   it.each([QUEUE_MODEL, RAMP_MODEL])('should hold for $name', model => {
     for (let seed = 1; seed <= SEEDS; seed++)
       expect(() => model.run(seed)).not.toThrow();
--- a/tests/ramp.spec.ts
+++ b/tests/ramp.spec.ts
@@ -10,7 +10,7 @@
 
 const RULE = {start: 2, full: 32, overMs: 10_000};
 
-/** Good answers every 100 ms with the whole limit in use. */
+/** Applies a good response every 100 ms with the whole limit in use. */
 function loaded(state: RampState, fromMs: number, toMs: number): RampState {
   let next = state;
   for (let nowMs = fromMs + 100; nowMs <= toMs; nowMs += 100)
@@ -24,7 +24,7 @@
 }
 
 describe('cold-start ramp', () => {
-  it('should go from start to full in no less than the rule’s time', () => {
+  it('should take at least the time of the rule from start to full', () => {
     const fresh = freshRamp(0);
     expect(rampLimit(fresh, RULE, 0)).toBe(2);
     expect(rampComplete(loaded(fresh, 0, 10_000), RULE)).toBe(false);
@@ -37,9 +37,9 @@
   });
 
   it('should gain nothing from time without load', () => {
-    // A fresh target is idle for a minute; then everything arrives at once.
-    // Had the ramp counted the idle minute, the target would get its full
-    // load cold and fall over.
+    // A fresh target is idle for a minute, then all requests arrive at once. If the
+    // ramp counted the idle minute, the target would get its full load while cold
+    // and fail.
     const idle = rampServed(freshRamp(0), RULE, {
       nowMs: 60_000,
       startedAtMs: 59_990,
@@ -62,7 +62,7 @@
     expect(rampLimit(state, RULE, 1000)).toBe(rampLimit(once, RULE, 1000));
   });
 
-  it('should not grow while hardly used', () => {
+  it('should not grow while hardly utilized', () => {
     const half = loaded(freshRamp(0), 0, 5000);
     const idle = rampServed(half, RULE, {
       nowMs: 6000,
@@ -73,7 +73,7 @@
     expect(idle.level).toBe(half.level);
   });
 
-  it('should hold under strain and shrink under more', () => {
+  it('should hold at a raised latency and shrink at a higher one', () => {
     const half = loaded(freshRamp(0), 0, 5000);
     const sample = {nowMs: 5100, startedAtMs: 5000, outstanding: 9};
     const held = rampServed(half, RULE, {...sample, slowdown: 2.2});
@@ -84,8 +84,8 @@
   });
 
   it('should fall to the start at any sign of cold', () => {
-    // A warm target restarts unseen and its load report still says warm. At
-    // the first lost connection the limit must be that of a fresh target.
+    // A warm target restarts unnoticed, and its load report still says warm. At the
+    // first lost connection the limit must be that of a fresh target.
     const warm = loaded(freshRamp(0), 0, 12_000);
     const cold = rampCold(warm, 12_000);
     expect(rampLimit(cold, RULE, 12_000)).toBe(2);
@@ -98,9 +98,9 @@
     expect(rampLimit(late, RULE, 12_000)).toBe(2);
   });
 
-  it('should go slower after it turned cold on the way up', () => {
-    // An engine that warms slower than its rule says falls over mid-ramp. At
-    // the same pace it falls over each time, and never serves its full load.
+  it('should be slower after the target became cold during the ramp', () => {
+    // An engine that warms slower than its rule says fails during the ramp. With the
+    // same ramp it would fail each time and never serve its full load.
     const again = rampCold(loaded(freshRamp(0), 0, 6000), 6000);
     expect(rampComplete(loaded(again, 6000, 18_000), RULE)).toBe(false);
     expect(rampComplete(loaded(again, 6000, 30_000), RULE)).toBe(true);
@@ -108,7 +108,7 @@
     expect(rampComplete(loaded(warm, 12_000, 24_000), RULE)).toBe(true);
   });
 
-  it('should not jump when start is raised before the first answer', () => {
+  it('should not jump when start is raised before the first response', () => {
     const fresh = rampRuleChanged(freshRamp(0), RULE, 100);
     const raised = {start: 24, full: 64, overMs: 10_000};
     expect(rampLimit(fresh, raised, 100)).toBe(2);
--- a/tests/subset.spec.ts
+++ b/tests/subset.spec.ts
@@ -28,7 +28,7 @@
 }
 
 describe('subset of a pool', () => {
-  it('should move nothing but the places of a target that goes', () => {
+  it('should replace only the target that leaves', () => {
     const all = targets(100, 1);
     const gone = all[17]!;
     for (const entry of ENTRIES) {
@@ -47,16 +47,16 @@
     }
   });
 
-  it('should differ between entries, so that all targets are followed', () => {
+  it('should differ between entries, so that all targets are used', () => {
     const followed = ENTRIES.flatMap(entry =>
       idsOf(chooseSubset(entry, targets(100, 1), SIZE))
     );
     expect(new Set(followed).size).toBeGreaterThan(90);
   });
 
-  it('should hold a target of every zone', () => {
-    // A zone is lost with all of the targets that an entry follows: with no
-    // other zone among them it would refuse, beside idle targets.
+  it('should include a target of every zone', () => {
+    // If all targets of an entry were in one zone, the loss of that zone would make
+    // the entry refuse requests although targets elsewhere are idle.
     for (const entry of ENTRIES) {
       const chosen = chooseSubset(entry, targets(170, 17), SIZE);
       const zones = new Set(chosen.map(one => one.availabilityZone));
@@ -66,8 +66,8 @@
   });
 
   it.each([
-    ['which take no work', 90, SIZE],
-    ['of which too few take work', 3, SIZE],
+    ['that accept no work', 90, SIZE],
+    ['of which too few accept work', 3, SIZE],
   ])('should pass over targets %s', (_, usableCount, size) => {
     const all = Array.from({length: 100}, (_unused, i) =>
       target(i, 1, {usable: i < usableCount})
