--- a/src/policy/admissionQueue.ts
+++ b/src/policy/admissionQueue.ts
@@ -1,20 +1,20 @@
 /**
  * Concurrency limit of one service at one node, with a bounded queue.
  *
- * Pattern: bursts of up to twice the capacity. Requests that wait beyond their
- * latency target are served late and delay those behind them. A request is queued
- * only if its turn is expected in time, and rejected at once otherwise.
+ * Bursts reach up to twice the capacity. A request that waits beyond its latency
+ * target is served late and delays those behind it. Therefore a request is queued
+ * only if it is expected to start in time, and is refused at once otherwise.
  */
 
-/** A request that asks to be admitted. */
+/** A request to admit, queue or refuse. */
 export interface QueuedRequest {
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Longest wait that still leaves an answer in time, milliseconds. */
+  /** Longest wait after which the response is still in time, milliseconds. */
   readonly maxWaitMs: number;
-  /** Called once, when it is admitted. */
+  /** Called once, when the request is admitted. */
   start(): void;
-  /** Called once instead of `start`. */
+  /** Called once instead of `start`, when the request is refused or expires. */
   refuse(): void;
 }
 
@@ -23,14 +23,17 @@
   readonly expiresAtMs: number;
 }
 
-/** EWMA weight of one sample. */
+/** Weight of one sample in the moving average of the service time. */
 const SERVICE_TIME_EWMA_ALPHA = 0.03;
-/** Limits follow demand with the next report of each node. */
-const BORROW_WITHIN_MS = 150;
-/** Before the first answer. */
+/**
+ * A request that can wait at least this long may be queued for slots that other nodes leave
+ * unused: the leader moves them here after the next report of this node.
+ */
+const MIN_BORROW_WAIT_MS = 150;
+/** Assumed service time before the first request has ended. */
 const INITIAL_SERVICE_TIME_MS = 1_000;
 
-/** Admits, queues and rejects requests. Time is given with each call. */
+/** Admits, queues and refuses requests. Each call passes the current time. */
 export class AdmissionQueue {
   private waiting: Waiting[] = [];
   private limit = 0;
@@ -42,7 +45,7 @@
     return this.running;
   }
 
-  /** Smoothed time from admission to the end of a request, milliseconds. */
+  /** Moving average of the time from admission to end, milliseconds. */
   get serviceTimeMs(): number {
     return this.meanServiceTimeMs;
   }
@@ -57,8 +60,8 @@
   }
 
   /**
-   * Takes over a new limit; requests beyond it run to their end. `free` is what
-   * other nodes do not use of theirs and may be allocated here.
+   * Applies a new limit; running requests beyond it are not aborted. `free` is the
+   * number of slots that other nodes leave unused and that may be granted here.
    */
   setLimit(limit: number, free = 0): void {
     this.limit = limit;
@@ -66,14 +69,14 @@
     this.startNext();
   }
 
-  /** Admits, queues or rejects the request. */
+  /** Admits, queues or refuses the request. */
   enter(request: QueuedRequest, nowMs: number): void {
     if (this.running < this.limit && this.waiting.length === 0) {
       this.running++;
       request.start();
       return;
     }
-    const ahead = this.aheadOf(request.priority);
+    const ahead = this.countAhead(request.priority);
     const waitMs = this.expectedWaitMs(ahead);
     if (waitMs > request.maxWaitMs && !this.canBorrow(request)) {
       request.refuse();
@@ -83,7 +86,7 @@
     this.waiting.splice(ahead, 0, {request, expiresAtMs});
   }
 
-  /** Notes the end of an admitted request. */
+  /** Records the end of an admitted request and starts the next one. */
   leave(heldMs: number): void {
     this.running--;
     this.meanServiceTimeMs +=
@@ -91,22 +94,24 @@
     this.startNext();
   }
 
-  /** Whether part of the others' free limit can be allocated here in time. */
+  /** Whether a slot that another node leaves unused can be granted in time. */
   private canBorrow({maxWaitMs}: QueuedRequest): boolean {
-    return this.waiting.length < this.free && maxWaitMs >= BORROW_WITHIN_MS;
+    return this.waiting.length < this.free && maxWaitMs >= MIN_BORROW_WAIT_MS;
   }
 
-  /** Removes a queued request whose caller went away. */
+  /** Removes a queued request whose caller has disconnected. */
   withdraw(request: QueuedRequest): void {
     this.waiting = this.waiting.filter(one => one.request !== request);
   }
 
-  /** Rejects requests that have waited too long. */
+  /** Refuses requests that have waited longer than their `maxWaitMs`. */
   expire(nowMs: number): void {
-    const late = this.waiting.filter(({expiresAtMs}) => expiresAtMs <= nowMs);
-    if (late.length === 0) return;
+    const expired = this.waiting.filter(
+      ({expiresAtMs}) => expiresAtMs <= nowMs
+    );
+    if (expired.length === 0) return;
     this.waiting = this.waiting.filter(({expiresAtMs}) => expiresAtMs > nowMs);
-    for (const {request} of late) request.refuse();
+    for (const {request} of expired) request.refuse();
   }
 
   private startNext(): void {
@@ -118,17 +123,17 @@
     }
   }
 
-  /** Those that are as urgent and came before, or are more urgent. */
-  private aheadOf(priority: number): number {
+  /** Number of queued requests of the same or a more urgent priority. */
+  private countAhead(priority: number): number {
     const index = this.waiting.findIndex(
       ({request}) => request.priority > priority
     );
     return index < 0 ? this.waiting.length : index;
   }
 
-  /** A request ends each `service time / limit` on average. */
+  /** On average one request ends every `serviceTimeMs / limit` milliseconds. */
   private expectedWaitMs(ahead: number): number {
-    const over = Math.max(0, this.running - this.limit);
-    return ((ahead + 1 + over) * this.serviceTimeMs) / Math.max(1, this.limit);
+    const extra = Math.max(0, this.running - this.limit);
+    return ((ahead + 1 + extra) * this.serviceTimeMs) / Math.max(1, this.limit);
   }
 }
--- a/src/policy/coldRate.ts
+++ b/src/policy/coldRate.ts
@@ -1,49 +1,59 @@
 /**
- * Requests a second that one node sends to one target, so that all nodes
- * together keep to what a cold target bears. A target may turn cold at any
- * moment and is known to be only later, so that the limit holds all the time.
+ * Divides the rate limit of a cold target among the nodes. A target may become
+ * cold at any moment and nodes learn of it only later, so the limit applies
+ * whether or not the target is known to be cold.
  *
- * Pattern: hundreds of nodes, and a bound of a few dozen requests a second. An
- * even part is less than one request, and one for each node breaks the bound.
- * Half of the bound goes with the permits for the target, of which only a few
- * nodes hold any; the other half to a subset of the nodes.
+ * With hundreds of nodes and a limit of a few dozen requests per second, an even
+ * split gives each node less than one request, and one request per node exceeds
+ * the limit. Therefore half of the limit is divided in proportion to the permits
+ * for the target, which only a few nodes hold; the other half goes to a subset of
+ * the nodes.
  */
 
 import murmurhash from 'murmurhash';
 
-/** Sends bunch up on their way: those of 1.1 s may arrive within one. */
-const SAFE_PART = 0.9;
-const PART_FOR_PERMITS = 0.5;
+/** Requests sent over 1.1 s may arrive within one second. */
+const SAFETY_RATIO = 0.9;
+/** Part of the limit that is divided in proportion to permits. */
+const PERMIT_RATIO = 0.5;
 
-/** The bound of a target and what this node may use of it. */
+/** Rate limit of a target and what this node's part of it depends on. */
 export interface ColdRateInput {
-  /** Requests a second that the target bears, from all nodes. */
+  /** Requests per second that the target can handle from all nodes together. */
   readonly bound: number;
   readonly nodes: number;
   readonly nodeId: string;
   readonly targetId: string;
-  /** Permits that this node holds for the target. */
+  /** Permits of this node for the target. */
   readonly permits: number;
-  /** Permits that all nodes together hold for it. */
+  /** Permits of all nodes together for the target. */
   readonly capacity: number;
 }
 
-/** Requests a second of this node to the target, a whole number. */
+/** Returns the requests per second that this node may send, a whole number. */
 export function coldRateOf(input: ColdRateInput): number {
   const {bound, permits, capacity} = input;
-  const forPermits = bound * SAFE_PART * PART_FOR_PERMITS;
-  const held = Math.min(permits, capacity) / Math.max(1, capacity);
-  return Math.floor(forPermits * held) + withoutPermits(input);
+  const rateForPermits = bound * SAFETY_RATIO * PERMIT_RATIO;
+  const heldRatio = Math.min(permits, capacity) / Math.max(1, capacity);
+  return Math.floor(rateForPermits * heldRatio) + nodeRateWithoutPermits(input);
 }
 
-/** An even part; where that is less than one, one for a subset of the nodes. */
-function withoutPermits(input: ColdRateInput): number {
+/**
+ * Divides the other part evenly; if that is less than one request for each node, a
+ * hashed subset of the nodes gets one each.
+ */
+function nodeRateWithoutPermits(input: ColdRateInput): number {
   const {bound, nodes, nodeId, targetId} = input;
-  const forAll = Math.floor(bound * SAFE_PART * (1 - PART_FOR_PERMITS));
-  if (nodes <= forAll) return Math.floor(forAll / Math.max(1, nodes));
-  const subsets = Math.ceil(nodes / Math.max(1, forAll * SUBSET_FILL));
+  const rateWithoutPermits = Math.floor(
+    bound * SAFETY_RATIO * (1 - PERMIT_RATIO)
+  );
+  if (nodes <= rateWithoutPermits)
+    return Math.floor(rateWithoutPermits / Math.max(1, nodes));
+  const subsets = Math.ceil(
+    nodes / Math.max(1, rateWithoutPermits * SUBSET_SIZE_MARGIN)
+  );
   return murmurhash.v3(`${nodeId} ${targetId}`, 0) % subsets === 0 ? 1 : 0;
 }
 
-/** Subsets are drawn by a hash and differ in size. */
-const SUBSET_FILL = 0.6;
+/** Leaves room for hashed subsets that are larger than the average. */
+const SUBSET_SIZE_MARGIN = 0.6;
--- a/src/policy/groupLimits.ts
+++ b/src/policy/groupLimits.ts
@@ -1,9 +1,9 @@
 /**
- * Concurrency limits of the groups of one service.
+ * Concurrency limits of the rank groups of one service.
  *
- * Pattern: groups of ranks that step apart from each other, and a slow rank that
- * holds one of them up. Each group takes the requests that it can serve in time;
- * one that can serve hardly any is left to a few probes.
+ * Groups run their passes independently, and one slow rank delays all passes of its
+ * group. Each group is limited to the requests that it can serve in time; a group
+ * that can serve hardly any gets only a few probe requests.
  */
 
 import type {PassProfile} from '../core/passProfile';
@@ -11,123 +11,129 @@
 import {PassCorrection} from './passCorrection';
 import {fixedPassMs, requestPassMs} from './passLength';
 
-/** What callers of streams accept, milliseconds; 0 for none. */
-export interface PassGoals {
-  /** Longest pause between two events. */
+/** Latency that callers of streams accept, milliseconds; 0 for no goal. */
+export interface LatencyGoals {
+  /** Maximum pause between two events. */
   readonly pauseMs: number;
-  /** Time to the first event. */
+  /** Maximum time to the first event. */
   readonly firstEventMs: number;
 }
 
-/** One group as the leader knows it. */
+/** Load of one group as the leader knows it. */
 export interface GroupLoad {
-  /** Empty for targets that work alone. */
+  /** Empty for targets that are in no group. */
   readonly name: string;
   readonly ranks: number;
-  /** Requests that its targets take at once. */
+  /** Requests that the targets of the group can run at once. */
   readonly slots: number;
-  /** Requests of all nodes at its targets. */
+  /** Requests of all nodes at the targets of the group. */
   readonly running: number;
-  /** Length of a pass as streams show it, milliseconds; 0 when none runs. */
+  /** Pass duration measured on streams, milliseconds; 0 when none runs. */
   readonly paceMs: number;
   readonly outlook: MapOutlook;
 }
 
-/** What the limits rest on. */
+/** Everything that the limits are computed from. */
 export interface GroupLimitsInput {
   readonly engine: PassProfile;
-  readonly goals: PassGoals;
+  readonly goals: LatencyGoals;
   readonly groups: readonly GroupLoad[];
-  /** Whether the loads are those of all nodes. */
+  /** Whether `groups` includes the loads of all nodes. */
   readonly isWhole: boolean;
   readonly nowMs: number;
 }
 
-/** What binds a limit. */
+/** What determines a limit. */
 export type LimitReason =
-  /** As many requests as the targets take. */
+  /** The slots of the targets. */
   | 'slots'
-  /** Passes would last longer than callers accept. */
+  /** With more requests, passes would last longer than callers accept. */
   | 'passes'
-  /** The same, right after the shift of demand that is due. */
+  /** As `passes`, but right after the demand shift that is expected now. */
   | 'shift'
-  /** Other groups serve callers in time, this one does not. */
+  /** Other groups serve callers in time, but this one doesn't. */
   | 'slowGroup'
-  /** No group serves callers in time; some are served late. */
+  /** No group serves callers in time, so some callers are served late. */
   | 'slow';
 
-/** Requests that one group may run at once. */
+/** Concurrency limit of one group. */
 export interface GroupLimit {
   readonly concurrency: number;
   readonly reason: LimitReason;
 }
 
 /**
- * Longest passes, in parts of the accepted pause. Passes that last are kept below
- * it, with room for the copies of a switch. Those after a shift may exceed it: they
- * are so long for a moment only, and a caller that is rejected loses more than
- * one that gets a single event late.
+ * Maximum pass durations, as ratios of the accepted pause. Sustained passes stay
+ * below it by a margin for the expert copies of a map switch. Passes right after a
+ * demand shift may come closer: they are that long only for a moment, and a caller
+ * that is refused loses more than one that gets a single event late.
  */
-const LASTING_PAUSE_RATIO = 0.94;
+const SUSTAINED_PAUSE_RATIO = 0.94;
 const SHIFT_PAUSE_RATIO = 0.96;
 /**
- * Passes until the first event: half a one until the next begins, one that reads
- * the prompt, one that writes, and one for the wait in the queue.
+ * Passes until the first event: half a pass until the next one begins, one for
+ * prefill, one for decoding, and one for the wait in the queue.
  */
 const FIRST_EVENT_PASSES = 3.5;
-/** A group that serves fewer of its slots in time is slow. */
+/**
+ * A group that can serve less than this ratio of its slots in time is slow. It is
+ * also the limit of every group when all of them are slow.
+ */
 const MIN_LIMIT_RATIO = 0.35;
-/** Streams that go on showing the pace of a slow group. */
+/** Requests kept at a slow group, so that its pass duration stays measured. */
 const PROBE_REQUESTS = 3;
-/** Cost of a request of which nothing is known, milliseconds. */
-const UNSEEN_MS = 1e-3;
-/** With fewer requests the fixed part of a pass drowns what each one adds. */
-const MIN_RUNNING = 4;
+/** Lower bound for the cost of a request, to avoid division by zero. */
+const MIN_REQUEST_COST_MS = 1e-3;
+/** With fewer requests, what each one adds is too small against the fixed part. */
+const MIN_RUNNING_TO_MEASURE = 4;
 
-/** Limits by group; keeps what was seen of the passes of each. */
+/** Computes the limits by group; keeps the measured correction of each group. */
 export class GroupLimits {
   private readonly corrections = new Map<string, PassCorrection>();
 
-  /** Limits now; to be asked once each period of reports. */
+  /** Records measured passes and returns the limits; call once per report. */
   next(input: GroupLimitsInput): ReadonlyMap<string, GroupLimit> {
     const {groups} = input;
     this.retain(groups);
     const bounds = groups.map(group => ({
       group,
-      bound: this.boundOf(group, input),
+      bound: this.upperBound(group, input),
     }));
-    const isServed = bounds.some(
-      ({group, bound}) => bound.concurrency >= leastOf(group.slots)
+    const isAnyGroupOnTime = bounds.some(
+      ({group, bound}) => bound.concurrency >= minConcurrency(group.slots)
     );
     return new Map(
       bounds.map(({group, bound}) => [
         group.name,
-        limitOf(group, bound, isServed),
+        applyMinimum(group, bound, isAnyGroupOnTime),
       ])
     );
   }
 
-  /** Requests at which passes are no longer than callers accept. */
-  private boundOf(group: GroupLoad, input: GroupLimitsInput): GroupLimit {
+  /** Maximum requests with which passes last no longer than callers accept. */
+  private upperBound(group: GroupLoad, input: GroupLimitsInput): GroupLimit {
     const {engine, goals, isWhole, nowMs} = input;
     const {ranks, running, paceMs, outlook} = group;
     const costAt = (skew: number) => requestPassMs({engine, ranks, skew});
     const fixedMs = fixedPassMs(engine);
     const correction = this.correctionOf(group.name);
     const varyingMs = paceMs - fixedMs;
-    const isSeen =
-      isWhole && running >= MIN_RUNNING && varyingMs > 0 && !outlook.isHeld;
+    const isMeasured =
+      isWhole &&
+      running >= MIN_RUNNING_TO_MEASURE &&
+      varyingMs > 0 &&
+      !outlook.isHeld;
     const expectedMs = costAt(outlook.skew);
-    if (isSeen) correction.note(varyingMs / running, expectedMs, nowMs);
+    if (isMeasured) correction.record(varyingMs / running, expectedMs, nowMs);
     const {factor} = correction;
-    const costMs = isSeen ? varyingMs / running : factor * expectedMs;
+    const costMs = isMeasured ? varyingMs / running : factor * expectedMs;
     const shiftMs = factor * costAt(outlook.dueSkew);
-    const lastingMs = lastingLimitMs(goals) - fixedMs;
+    const sustainedMs = sustainedPassLimitMs(goals) - fixedMs;
     const shiftLimitMs = goals.pauseMs * SHIFT_PAUSE_RATIO - fixedMs;
     return smallest([
       {concurrency: group.slots, reason: 'slots'},
-      {concurrency: requestsIn(lastingMs, costMs), reason: 'passes'},
-      {concurrency: requestsIn(shiftLimitMs, shiftMs), reason: 'shift'},
+      {concurrency: requestsWithin(sustainedMs, costMs), reason: 'passes'},
+      {concurrency: requestsWithin(shiftLimitMs, shiftMs), reason: 'shift'},
     ]);
   }
 
@@ -146,24 +152,24 @@
   }
 }
 
-function leastOf(slots: number): number {
+function minConcurrency(slots: number): number {
   return slots * MIN_LIMIT_RATIO;
 }
 
-function limitOf(
+function applyMinimum(
   {slots}: GroupLoad,
   bound: GroupLimit,
-  isServed: boolean
+  isAnyGroupOnTime: boolean
 ): GroupLimit {
-  const least = leastOf(slots);
+  const least = minConcurrency(slots);
   if (bound.concurrency >= least) return bound;
-  if (!isServed) return {concurrency: least, reason: 'slow'};
+  if (!isAnyGroupOnTime) return {concurrency: least, reason: 'slow'};
   const concurrency = Math.max(PROBE_REQUESTS, bound.concurrency);
   return {concurrency: Math.min(slots, concurrency), reason: 'slowGroup'};
 }
 
-function requestsIn(ms: number, costMs: number): number {
-  return ms / Math.max(costMs, UNSEEN_MS);
+function requestsWithin(ms: number, costMs: number): number {
+  return ms / Math.max(costMs, MIN_REQUEST_COST_MS);
 }
 
 function smallest(limits: readonly GroupLimit[]): GroupLimit {
@@ -172,9 +178,9 @@
   );
 }
 
-/** Longest pass that keeps both goals for as long as it lasts. */
-function lastingLimitMs({pauseMs, firstEventMs}: PassGoals): number {
-  const forPauses = pauseMs * LASTING_PAUSE_RATIO;
+/** Longest pass duration that meets both goals when it is sustained. */
+function sustainedPassLimitMs({pauseMs, firstEventMs}: LatencyGoals): number {
+  const forPauses = pauseMs * SUSTAINED_PAUSE_RATIO;
   if (firstEventMs === 0) return forPauses;
   return Math.min(forPauses, firstEventMs / FIRST_EVENT_PASSES);
 }
--- a/src/policy/outageRetry.ts
+++ b/src/policy/outageRetry.ts
@@ -1,36 +1,38 @@
 /**
- * When callers of a service that does not work at all are to come back.
+ * Retry-After of callers of a service that is entirely out.
  *
- * Pattern: a rank of a group is lost, and with it the whole group,
- * until the rank is back and the group has formed anew: two to four seconds.
- * Callers that came back within half a second came into the same outage and
- * were turned away for good, all that arrived in it. They wait no longer than
- * a third of the time that they have, 2.6 s of 8 s; those told to come back
- * near the end of that find the group working again.
+ * When a rank is lost, its whole group is out until the rank is back and the group
+ * has formed again, which takes two to four seconds. Callers that retried within
+ * half a second met the same outage, and all that arrived during it were refused
+ * for good. Callers wait at most a third of their remaining time, 2.6 s of 8 s; if
+ * they retry near the end of that, the group is working again.
  */
 
-/** Earliest and latest return; spread, so that they do not come as one. */
-const MIN_RETRY_MS = 1_700;
-const MAX_RETRY_MS = 2_600;
-/** Where callers have less time, they come back in the last part of a third. */
-const MAX_RATIO = 1 / 3;
+/** Range of Retry-After, spread so that callers do not all retry at once. */
+const MIN_OUTAGE_RETRY_MS = 1_700;
+const MAX_OUTAGE_RETRY_MS = 2_600;
+/** Maximum Retry-After as a ratio of the remaining time; scales the range down. */
+const MAX_WAIT_RATIO = 1 / 3;
 
-/** Time until the caller is to come back; `random` is from 0 to below 1. */
+/** Retry-After in milliseconds; `random` returns 0 up to but excluding 1. */
 export function outageRetryMs(
   remainingMs: number,
   random: () => number
 ): number {
-  const latestMs = Math.min(MAX_RETRY_MS, Math.max(0, remainingMs) * MAX_RATIO);
-  const earliestMs = (latestMs * MIN_RETRY_MS) / MAX_RETRY_MS;
+  const latestMs = Math.min(
+    MAX_OUTAGE_RETRY_MS,
+    Math.max(0, remainingMs) * MAX_WAIT_RATIO
+  );
+  const earliestMs = (latestMs * MIN_OUTAGE_RETRY_MS) / MAX_OUTAGE_RETRY_MS;
   return earliestMs + (latestMs - earliestMs) * random();
 }
 
-/** A node that has just started gets the site with its first report to a leader. */
+/** A node that knows a leader receives the site with its first report to it. */
 const NO_SITE_RETRY_MS = 500;
 
 /**
- * The same for a node that has no site yet. Without a leader all of control is
- * out, as after a loss of all power, and an early return finds nothing either.
+ * Retry-After of a node that has no site yet. Without a leader the whole control
+ * plane is out, as after a power loss, and an early retry would fail as well.
  */
 export function noSiteRetryMs(
   knowsLeader: boolean,
--- a/src/policy/passCorrection.ts
+++ b/src/policy/passCorrection.ts
@@ -1,16 +1,16 @@
 /**
- * Corrects the cost model of an engine by the passes that are seen.
+ * Corrects the cost model of an engine by measured passes.
  *
- * Pattern: prompts and answers longer than usual, or a rank slower than its
- * profile. The median of some seconds leaves out the moments after a shift, when
- * the skew in force is not known yet.
+ * Prompts and responses may be longer than the profile assumes, or a rank slower.
+ * The median over a few seconds ignores the moments after a demand shift, when the
+ * actual load skew is not known yet.
  */
 
-/** Several shifts are fewer than half of the samples of this time. */
-const MEMORY_MS = 3_000;
-/** Fewer samples tell nothing yet. */
+/** Even several shifts affect fewer than half of the samples in this window. */
+const WINDOW_MS = 3_000;
+/** With fewer samples, no correction is applied. */
 const MIN_SAMPLES = 5;
-/** Beyond these the profile or the samples are wrong. */
+/** Outside this range, the profile or the samples must be wrong. */
 const MIN_FACTOR = 0.6;
 const MAX_FACTOR = 2.5;
 
@@ -19,19 +19,19 @@
   readonly ratio: number;
 }
 
-/** Corrects the expected cost of a request by what is seen. */
+/** Correction factor for the expected cost of a request. */
 export class PassCorrection {
   private samples: Sample[] = [];
 
-  /** Notes a seen cost and the one that was expected, milliseconds. */
-  note(seenMs: number, expectedMs: number, nowMs: number): void {
+  /** Records a measured cost and the expected one, milliseconds. */
+  record(measuredMs: number, expectedMs: number, nowMs: number): void {
     if (expectedMs <= 0) return;
-    this.samples.push({atMs: nowMs, ratio: seenMs / expectedMs});
-    const oldest = nowMs - MEMORY_MS;
+    this.samples.push({atMs: nowMs, ratio: measuredMs / expectedMs});
+    const oldest = nowMs - WINDOW_MS;
     while ((this.samples[0]?.atMs ?? nowMs) < oldest) this.samples.shift();
   }
 
-  /** Factor for expected costs; 1 until enough was seen. */
+  /** Factor for expected costs; 1 until there are enough samples. */
   get factor(): number {
     if (this.samples.length < MIN_SAMPLES) return 1;
     const ratios = this.samples.map(({ratio}) => ratio).sort((a, b) => a - b);
--- a/src/policy/passPace.ts
+++ b/src/policy/passPace.ts
@@ -1,43 +1,46 @@
 /**
- * How long the passes of a group last, from the pauses between the events of
- * streams. All ranks step together, so that a node's own streams show the pace
- * of the whole group, without asking any rank.
+ * Measures the pass duration of a group by the pauses between events of streams.
+ * All ranks of a group step together, so the streams of one node show the pass
+ * duration of the whole group without a query to any rank.
  *
- * Pattern: other experts come into demand from one pass to the
- * next. The pace shows it two passes later, at no price; reading the counts of
- * ranks as often would cost more than a late change of maps.
+ * The demand for experts may shift from one pass to the next. The pass duration
+ * shows it two passes later, at no cost; reading the expert counters of the ranks
+ * that often would cost more than a late map switch.
  */
 
-/** Pauses within this time show the present pace: one or two passes. */
-const RECENT_MS = 140;
-/** Long passes end less often: the last one counts until the next is due. */
-const RECENT_PASSES = 1.5;
+/** Minimum window for the median; it covers one or two passes. */
+const MIN_WINDOW_MS = 140;
+/**
+ * Window in passes, for passes that last longer: the last pause must count until
+ * the next pass is due to end.
+ */
+const WINDOW_PASSES = 1.5;
 
-interface Gap {
+interface Pause {
   readonly atMs: number;
   readonly ms: number;
 }
 
-/** Pauses between events of one service at one node. */
+/** Recent pauses between events of the streams of one group at one node. */
 export class PassPace {
-  private recent: Gap[] = [];
+  private pauses: Pause[] = [];
 
-  /** Notes a pause that has just ended. */
+  /** Records a pause that has just ended. */
   note(ms: number, nowMs: number): void {
-    this.recent.push({atMs: nowMs, ms});
+    this.pauses.push({atMs: nowMs, ms});
     this.trim(nowMs);
   }
 
-  /** Median pause now; 0 when no stream runs. */
+  /** Median of the recent pauses, milliseconds; 0 when no stream runs. */
   paceMs(nowMs: number): number {
     this.trim(nowMs);
-    const sorted = this.recent.map(({ms}) => ms).sort((a, b) => a - b);
+    const sorted = this.pauses.map(({ms}) => ms).sort((a, b) => a - b);
     return sorted[Math.floor(sorted.length / 2)] ?? 0;
   }
 
   private trim(nowMs: number): void {
-    const lastMs = this.recent[this.recent.length - 1]?.ms ?? 0;
-    const oldestMs = nowMs - Math.max(RECENT_MS, lastMs * RECENT_PASSES);
-    while ((this.recent[0]?.atMs ?? nowMs) < oldestMs) this.recent.shift();
+    const lastMs = this.pauses[this.pauses.length - 1]?.ms ?? 0;
+    const oldestMs = nowMs - Math.max(MIN_WINDOW_MS, lastMs * WINDOW_PASSES);
+    while ((this.pauses[0]?.atMs ?? nowMs) < oldestMs) this.pauses.shift();
   }
 }
--- a/src/policy/rateWindow.ts
+++ b/src/policy/rateWindow.ts
@@ -1,15 +1,16 @@
-/** Counts sends in the last second, for targets that bear only so many cold. */
+/** Counts sends in the last second, for targets with a rate limit when cold. */
 
-const SECOND_MS = 1_000;
+const WINDOW_MS = 1_000;
 
-/** Sends of one node to one target. */
+/** Sliding-window rate limiter for the sends of one node to one target. */
 export class RateWindow {
   private sentAtMs: number[] = [];
 
-  /** Whether one more keeps within `perSecond` in every span of a second. */
+  /** Whether one more send keeps every span of a second within `perSecond`. */
   allows(nowMs: number, perSecond: number): boolean {
-    const oldest = nowMs - SECOND_MS;
-    while ((this.sentAtMs[0] ?? Infinity) <= oldest) this.sentAtMs.shift();
+    const windowStartMs = nowMs - WINDOW_MS;
+    while ((this.sentAtMs[0] ?? Infinity) <= windowStartMs)
+      this.sentAtMs.shift();
     return this.sentAtMs.length < perSecond;
   }
 
--- a/src/policy/retransmitTimeout.ts
+++ b/src/policy/retransmitTimeout.ts
@@ -1,24 +1,24 @@
 /**
- * Time limit of a call, from the round trips that were measured (Jacobson and
- * Karels). Answers of a busy machine take several times as long as those of an
- * idle one: a fixed limit either retransmits what is still on its way, which
- * adds to the load, or waits long for what is lost.
+ * Timeout of a call, adapted to measured round trips (Jacobson and Karels). A busy
+ * machine replies several times slower than an idle one. A fixed timeout would
+ * either retransmit calls whose reply is still on its way, which adds to the load,
+ * or wait too long for lost ones.
  */
 
 const ROUND_TRIP_WEIGHT = 1 / 8;
 const VARIATION_WEIGHT = 1 / 4;
-const VARIATIONS = 4;
-const BACKOFF = 2;
+const VARIATION_FACTOR = 4;
+const BACKOFF_FACTOR = 2;
 
-/** Range of the limit, milliseconds. */
+/** Range of the timeout, milliseconds. */
 export interface TimeoutBounds {
   readonly minMs: number;
   readonly maxMs: number;
-  /** Before the first answer. */
+  /** Timeout before the first reply. */
   readonly initialMs: number;
 }
 
-/** Limit of one kind of call. */
+/** Adaptive timeout of one kind of call. */
 export class RetransmitTimeout {
   private roundTripMs: number | undefined;
   private variationMs = 0;
@@ -28,12 +28,12 @@
     this.limitMs = bounds.initialMs;
   }
 
-  /** Time limit of the next call, milliseconds. */
+  /** Timeout of the next call, milliseconds. */
   get ms(): number {
     return this.limitMs;
   }
 
-  /** Notes the duration of a call that was answered. */
+  /** Records the round trip of a call that received a reply. */
   noteAnswer(ms: number): void {
     if (this.roundTripMs === undefined) {
       this.roundTripMs = ms;
@@ -44,20 +44,22 @@
         (Math.abs(error) - this.variationMs) * VARIATION_WEIGHT;
       this.roundTripMs += error * ROUND_TRIP_WEIGHT;
     }
-    this.limitMs = this.within(
-      this.roundTripMs + VARIATIONS * this.variationMs
+    this.limitMs = this.clamp(
+      this.roundTripMs + VARIATION_FACTOR * this.variationMs
     );
   }
 
   /**
-   * Notes calls without an answer. One of many that were sent together is
-   * likely lost, and says nothing of the time that answers take.
+   * Records calls that timed out. A single one of many sent together was probably
+   * lost and says nothing about the round trip, so the timeout backs off only when
+   * more than half of them timed out.
    */
   noteTimeouts(timedOut: number, sent: number): void {
-    if (timedOut * 2 > sent) this.limitMs = this.within(this.limitMs * BACKOFF);
+    if (timedOut * 2 > sent)
+      this.limitMs = this.clamp(this.limitMs * BACKOFF_FACTOR);
   }
 
-  private within(ms: number): number {
+  private clamp(ms: number): number {
     return Math.min(this.bounds.maxMs, Math.max(this.bounds.minMs, ms));
   }
 }
--- a/src/policy/retryTiming.ts
+++ b/src/policy/retryTiming.ts
@@ -1,51 +1,52 @@
 /**
- * Retry-After of rejected requests.
+ * Retry-After of refused requests.
  *
- * Two patterns. A shortage of a moment rejects few: a quick retry still meets its
- * latency target. A burst, or a shift of demand, rejects many and lasts a second
- * or two: a retry within it is rejected for good.
+ * A momentary shortage refuses few requests, and a quick retry still meets its
+ * latency target. A burst or a demand shift refuses many requests and lasts a
+ * second or two; a retry during that time is refused for good.
  */
 
-/** Time over which rejections are counted. */
-const MEMORY_MS = 1_500;
-/** Part of the requests rejected from which a shortage counts as lasting. */
-const LASTING_PART = 0.12;
-/** A quick second try: the next places come free within a few passes. */
-const QUICK_FROM_MS = 120;
-const QUICK_TO_MS = 300;
+/** Time constant with which the counts of requests and refusals decay. */
+const DECAY_MS = 1_500;
+/** Ratio of refused requests above which a shortage counts as lasting. */
+const LASTING_REFUSAL_RATIO = 0.12;
+/** Range of a quick retry: the next slots become free within a few passes. */
+const QUICK_RETRY_MIN_MS = 120;
+const QUICK_RETRY_MAX_MS = 300;
 /**
- * A late one: shortages last about so long, and callers wait no longer than a
- * third of the eight seconds that streams have. Spread, they do not come as one.
+ * Range of a late retry: shortages last about this long, and callers wait at most a
+ * third of the eight seconds that streams have. The range spreads the retries.
  */
-const LATE_FROM_MS = 700;
-const LATE_TO_MS = 2_600;
+const LATE_RETRY_MIN_MS = 700;
+const LATE_RETRY_MAX_MS = 2_600;
 
-/** Chooses by the recent part of rejections. */
+/** Chooses Retry-After by the recent ratio of refusals. */
 export class RetryTiming {
-  private asked = 0;
+  private requests = 0;
   private refused = 0;
   private atMs = 0;
 
-  /** Counts a request that asks to be admitted. */
+  /** Counts a request that was received. */
   noteAsked(nowMs: number): void {
-    this.fade(nowMs);
-    this.asked++;
+    this.decay(nowMs);
+    this.requests++;
   }
 
-  /** Counts a rejection; returns its Retry-After, milliseconds. */
+  /** Counts a refusal and returns its Retry-After, milliseconds. */
   refuse(nowMs: number, random: () => number): number {
-    this.fade(nowMs);
+    this.decay(nowMs);
     this.refused++;
-    const isLasting = this.refused > LASTING_PART * this.asked + 1;
+    const isLasting = this.refused > LASTING_REFUSAL_RATIO * this.requests + 1;
     return isLasting
-      ? LATE_FROM_MS + (LATE_TO_MS - LATE_FROM_MS) * random()
-      : QUICK_FROM_MS + (QUICK_TO_MS - QUICK_FROM_MS) * random();
+      ? LATE_RETRY_MIN_MS + (LATE_RETRY_MAX_MS - LATE_RETRY_MIN_MS) * random()
+      : QUICK_RETRY_MIN_MS +
+          (QUICK_RETRY_MAX_MS - QUICK_RETRY_MIN_MS) * random();
   }
 
-  private fade(nowMs: number): void {
-    const kept = Math.exp(-Math.max(0, nowMs - this.atMs) / MEMORY_MS);
+  private decay(nowMs: number): void {
+    const decayFactor = Math.exp(-Math.max(0, nowMs - this.atMs) / DECAY_MS);
     this.atMs = nowMs;
-    this.asked *= kept;
-    this.refused *= kept;
+    this.requests *= decayFactor;
+    this.refused *= decayFactor;
   }
 }
--- a/src/policy/shareAllocation.ts
+++ b/src/policy/shareAllocation.ts
@@ -1,60 +1,60 @@
 /**
- * Allocates the concurrency limit of a service to the nodes that send to it.
+ * Divides the concurrency limit of a service among the nodes that send to it.
  *
- * Pattern: callers reach nodes by a hash, so that one node may have three times
- * the requests of another. Equal parts reject callers at the busiest node while
- * others have room.
+ * Callers are hashed to nodes, so one node may receive three times the requests of
+ * another. With equal parts, the busiest node would refuse callers while others
+ * have free slots.
  */
 
 /** Demand of one node. */
 export interface ShareDemand {
   readonly node: string;
-  /** Requests at targets and waiting now. */
+  /** Requests in flight at targets or queued at the node. */
   readonly wanted: number;
-  /** Requests taken lately, by which what nobody demands now is allocated. */
+  /** Recent arrivals; slots that no node wants now are divided by them. */
   readonly arrivals: number;
 }
 
-/** Weight of a node without arrivals: it can take its first ones at once. */
+/** Added to the arrivals, so that an idle node also gets surplus slots. */
 const IDLE_WEIGHT = 0.5;
-/** A node without any could not learn whether targets answer. */
-const MIN_PLACES = 1;
+/** A node without a slot could not find out whether targets respond. */
+const MIN_SLOTS_PER_NODE = 1;
 
-/** Parts by node; they add up to `places`, or to one a node if that is more. */
+/** Slots by node; their sum is `concurrency`, or one per node if that is more. */
 export function allocateShares(
-  places: number,
+  concurrency: number,
   demands: readonly ShareDemand[]
 ): ReadonlyMap<string, number> {
-  const wanted = wantedOf(demands);
+  const wanted = totalWanted(demands);
   const granted =
-    wanted > places
-      ? splitScarce(places, demands)
-      : splitPlenty(places - wanted, demands);
-  return roundShares(places, demands, granted);
+    wanted > concurrency
+      ? splitMaxMin(concurrency, demands)
+      : splitWithSurplus(concurrency - wanted, demands);
+  return roundGrants(concurrency, demands, granted);
 }
 
-/** What is beyond the demand of all nodes, a whole number. */
+/** Slots beyond the demand of all nodes, rounded down. */
 export function freePlaces(
-  places: number,
+  concurrency: number,
   demands: readonly ShareDemand[]
 ): number {
-  return Math.max(0, Math.floor(places - wantedOf(demands)));
+  return Math.max(0, Math.floor(concurrency - totalWanted(demands)));
 }
 
-function wantedOf(demands: readonly ShareDemand[]): number {
+function totalWanted(demands: readonly ShareDemand[]): number {
   return demands.reduce((sum, {wanted}) => sum + wanted, 0);
 }
 
-/** Max-min fair: what some nodes do not demand goes to the others. */
-function splitScarce(
-  places: number,
+/** Max-min fair split: what some nodes do not want goes to the others. */
+function splitMaxMin(
+  concurrency: number,
   demands: readonly ShareDemand[]
 ): readonly number[] {
   const order = demands
     .map(({wanted}, index) => ({wanted, index}))
     .sort((a, b) => a.wanted - b.wanted);
   const granted = demands.map(() => 0);
-  let left = places;
+  let left = concurrency;
   order.forEach(({wanted, index}, position) => {
     const part = Math.min(wanted, left / (order.length - position));
     granted[index] = part;
@@ -63,33 +63,38 @@
   return granted;
 }
 
-/** All demand, and the rest by arrivals, where the next requests will come. */
-function splitPlenty(
-  rest: number,
+/** Meets all demand and splits the surplus by arrivals, for the next requests. */
+function splitWithSurplus(
+  surplus: number,
   demands: readonly ShareDemand[]
 ): readonly number[] {
   const weights = demands.map(({arrivals}) => arrivals + IDLE_WEIGHT);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return demands.map(
-    ({wanted}, index) => wanted + (rest * (weights[index] ?? 0)) / total
+    ({wanted}, index) => wanted + (surplus * (weights[index] ?? 0)) / total
   );
 }
 
-/** Whole places; the largest fractions are rounded up. */
-function roundShares(
-  places: number,
+/** Rounds to whole slots; the largest fractions are rounded up. */
+function roundGrants(
+  concurrency: number,
   demands: readonly ShareDemand[],
   granted: readonly number[]
 ): ReadonlyMap<string, number> {
-  const whole = granted.map(part => Math.max(MIN_PLACES, Math.floor(part)));
-  let left = Math.floor(places) - whole.reduce((sum, part) => sum + part, 0);
+  const rounded = granted.map(part =>
+    Math.max(MIN_SLOTS_PER_NODE, Math.floor(part))
+  );
+  let left =
+    Math.floor(concurrency) - rounded.reduce((sum, part) => sum + part, 0);
   const byFraction = granted
     .map((part, index) => ({fraction: part - Math.floor(part), index}))
     .sort((a, b) => b.fraction - a.fraction);
   for (const {index} of byFraction) {
     if (left <= 0) break;
-    whole[index] = (whole[index] ?? 0) + 1;
+    rounded[index] = (rounded[index] ?? 0) + 1;
     left--;
   }
-  return new Map(demands.map(({node}, i) => [node, whole[i] ?? MIN_PLACES]));
+  return new Map(
+    demands.map(({node}, i) => [node, rounded[i] ?? MIN_SLOTS_PER_NODE])
+  );
 }
--- a/src/policy/stallWatch.ts
+++ b/src/policy/stallWatch.ts
@@ -1,14 +1,14 @@
 /**
- * Tells that a group of ranks stands still, from the streams of one node.
+ * Detects from the streams of one node that a group of ranks is stalled.
  *
- * Pattern: a rank is lost, and all ranks wait for it for more than a second before
- * they answer anything. Streams show it before a rank tells that the group is
- * broken: all of them fall silent together.
+ * When a rank is lost, the other ranks wait for it for more than a second before
+ * they respond to anything. All streams of the group fall silent together, which
+ * shows the stall before a rank reports that the group is broken.
  */
 
-/** Silence of all streams that counts; a switch of maps holds a group for less. */
-const SILENT_MS = 600;
-/** A single stream may wait for other reasons. */
+/** Silence that counts as a stall; a map switch holds passes for less. */
+const STALL_SILENCE_MS = 600;
+/** A single stream may be silent for other reasons. */
 const MIN_STREAMS = 2;
 
 /** Streams of one group at one node. */
@@ -16,12 +16,12 @@
   private streams = 0;
   private eventAtMs = -Infinity;
 
-  /** A stream has sent its first event. */
+  /** Records that a stream has delivered its first event. */
   opened(): void {
     this.streams++;
   }
 
-  /** A stream that had begun is over. */
+  /** Records the end of a stream that was counted by `opened`. */
   closed(): void {
     this.streams--;
   }
@@ -35,7 +35,7 @@
   }
 
   isStalled(nowMs: number): boolean {
-    const isSilent = nowMs - this.eventAtMs > SILENT_MS;
+    const isSilent = nowMs - this.eventAtMs > STALL_SILENCE_MS;
     return this.streams >= MIN_STREAMS && isSilent;
   }
 }
--- a/src/policy/targetChoice.ts
+++ b/src/policy/targetChoice.ts
@@ -1,45 +1,48 @@
 /**
- * Which target gets a request. A node uses the slots that it has permits for;
- * without any left it takes the target where it has the least in work.
+ * Chooses the target of a request by the permits of this node. Targets with an
+ * unused permit come first; without any, the target where this node has the fewest
+ * requests for its slots.
  */
 
-/** A target as the choice sees it. */
+/** State of one target that the choice depends on. */
 export interface TargetOption {
   readonly id: string;
   readonly slots: number;
-  /** Requests of this node there now. */
+  /** Requests of this node in flight at the target. */
   readonly own: number;
-  /** Requests that this node may have there. */
+  /** Requests that this node may have in flight at the target. */
   readonly permits: number;
+  /** Whether the target is in the zone of this node. */
   readonly isNear: boolean;
-  /** Part of its requests that it failed lately, 0 to 1. */
+  /** Ratio of recent requests that failed, 0 to 1. */
   readonly failureRate: number;
-  /** Smoothed time to an answer; 0 unknown. */
+  /** Moving average of the response time; 0 when unknown. */
   readonly latencyMs: number;
 }
 
 /**
- * Worth of staying in the zone, in parts of a target's slots: a way between
- * zones costs milliseconds and bytes, a place in a queue a whole stay.
+ * Cost of a target in another zone, as a ratio of its slots. Traffic between zones
+ * costs milliseconds and bytes; a wait in a queue costs the whole duration of
+ * another request.
  */
-const FAR_PENALTY = 0.2;
-/** A target that fails all it gets counts as this many times full. */
+const REMOTE_ZONE_PENALTY = 0.2;
+/** Cost of a target that fails every request; a full target costs 1. */
 const FAILURE_PENALTY = 3;
-/** A target that is so many times slower than the median counts as loaded. */
-const SLOW_RATIO = 1.6;
-/** Targets without a permit left come last, whatever speaks for them. */
+/** Ratio to the median latency above which a target costs more. */
+const SLOW_LATENCY_RATIO = 1.6;
+/** Cost factor that puts targets without an unused permit last. */
 const NO_PERMIT_PENALTY = 4;
 
-/** The best option; `random` breaks ties, from 0 to below 1. */
+/** Returns the cheapest option; `random` (0 up to below 1) breaks ties. */
 export function chooseTarget(
   options: readonly TargetOption[],
   random: () => number
 ): TargetOption | undefined {
-  const usualMs = medianLatency(options);
+  const medianMs = medianLatency(options);
   let best: TargetOption | undefined;
   let least = Infinity;
   for (const option of options) {
-    const cost = costOf(option, usualMs) + random() * TIE;
+    const cost = costOf(option, medianMs) + random() * TIE_BREAK_RANGE;
     if (cost >= least) continue;
     least = cost;
     best = option;
@@ -47,18 +50,18 @@
   return best;
 }
 
-/** Smaller than the cost of one request at a target of a hundred slots. */
-const TIE = 0.005;
+/** Less than the cost of one request at a target with a hundred slots. */
+const TIE_BREAK_RANGE = 0.005;
 
-function costOf(option: TargetOption, usualMs: number): number {
+function costOf(option: TargetOption, medianMs: number): number {
   const {slots, own, permits, isNear, failureRate, latencyMs} = option;
-  const use = (own + 1) / Math.max(1, slots);
-  let cost = use;
-  if (own >= permits) cost += NO_PERMIT_PENALTY * use;
-  if (!isNear) cost += FAR_PENALTY;
+  const utilization = (own + 1) / Math.max(1, slots);
+  let cost = utilization;
+  if (own >= permits) cost += NO_PERMIT_PENALTY * utilization;
+  if (!isNear) cost += REMOTE_ZONE_PENALTY;
   cost += FAILURE_PENALTY * failureRate ** 2;
-  if (usualMs > 0 && latencyMs > SLOW_RATIO * usualMs)
-    cost *= latencyMs / usualMs;
+  if (medianMs > 0 && latencyMs > SLOW_LATENCY_RATIO * medianMs)
+    cost *= latencyMs / medianMs;
   return cost;
 }
 
--- a/src/policy/targetHealth.ts
+++ b/src/policy/targetHealth.ts
@@ -1,46 +1,46 @@
 /**
- * What a node believes of a target from its own calls. Health checks may say
- * anything: a target that fails half of its requests answers them well.
+ * Passive health of a target, from the attempts of one node. Health checks are not
+ * enough: a target that fails half of its requests may still pass them.
  */
 
-/** How one attempt at the target ended. */
+/** Result of one attempt at the target. */
 export type AttemptSign =
   | {readonly kind: 'good'; readonly latencyMs: number}
-  /** It failed a request that it had taken, or gave no answer. */
+  /** The target failed a request that it had accepted, or did not respond. */
   | {readonly kind: 'failed'}
-  /** No connection came about. */
+  /** The connection could not be established. */
   | {readonly kind: 'unreachable'}
-  /** It was full, and said so. */
+  /** The target responded that it is full. */
   | {readonly kind: 'full'};
 
-/** Weight of one attempt. Ten attempts tell a grey target from a good one. */
-const SMOOTHING = 0.2;
-/** Pause after the first failure to connect, milliseconds; doubles each time. */
+/** Weight of one attempt; ten reveal a target that fails some of its requests. */
+const EWMA_ALPHA = 0.2;
+/** Pause after the first failure; it doubles with each consecutive failure. */
 const FIRST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 4_000;
-/** Pause after it was full: its queue moves within a pass or two. */
+const MAX_PAUSE_MS = 4_000;
+/** Pause of a full target: its queue advances within a pass or two. */
 const FULL_PAUSE_MS = 60;
-/** Failures in a row after which the target is left alone for a while. */
-const FAILURES_IN_ROW = 3;
+/** Consecutive failed requests from which the target is paused. */
+const MAX_CONSECUTIVE_FAILURES = 3;
 
-/** One target as one node sees it. */
+/** Health of one target as one node observes it. */
 export class TargetHealth {
-  private failing = 0;
-  private latency = 0;
-  private inRow = 0;
+  private smoothedFailureRate = 0;
+  private smoothedLatencyMs = 0;
+  private consecutiveFailures = 0;
   private pausedUntilMs = -Infinity;
 
-  /** Part of its requests that it failed lately, 0 to 1. */
+  /** Moving average of failed requests, 0 to 1. */
   get failureRate(): number {
-    return this.failing;
+    return this.smoothedFailureRate;
   }
 
-  /** Smoothed time to an answer; 0 before the first. */
+  /** Moving average of the response time; 0 before the first response. */
   get latencyMs(): number {
-    return this.latency;
+    return this.smoothedLatencyMs;
   }
 
-  /** Whether it is left alone for now. */
+  /** Whether the target currently gets no requests from this node. */
   isPaused(nowMs: number): boolean {
     return nowMs < this.pausedUntilMs;
   }
@@ -48,11 +48,11 @@
   note(sign: AttemptSign, nowMs: number): void {
     switch (sign.kind) {
       case 'good':
-        this.inRow = 0;
-        this.failing -= this.failing * SMOOTHING;
-        this.latency +=
-          (sign.latencyMs - this.latency) *
-          (this.latency === 0 ? 1 : SMOOTHING);
+        this.consecutiveFailures = 0;
+        this.smoothedFailureRate -= this.smoothedFailureRate * EWMA_ALPHA;
+        this.smoothedLatencyMs +=
+          (sign.latencyMs - this.smoothedLatencyMs) *
+          (this.smoothedLatencyMs === 0 ? 1 : EWMA_ALPHA);
         return;
       case 'full':
         this.pausedUntilMs = Math.max(
@@ -61,19 +61,21 @@
         );
         return;
       case 'failed':
-        this.failing += (1 - this.failing) * SMOOTHING;
-        this.inRow++;
-        if (this.inRow >= FAILURES_IN_ROW) this.pause(nowMs);
+        this.smoothedFailureRate += (1 - this.smoothedFailureRate) * EWMA_ALPHA;
+        this.consecutiveFailures++;
+        if (this.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES)
+          this.pause(nowMs);
         return;
       case 'unreachable':
-        this.inRow++;
+        this.consecutiveFailures++;
         this.pause(nowMs);
         return;
     }
   }
 
   private pause(nowMs: number): void {
-    const doubled = FIRST_PAUSE_MS * 2 ** Math.min(8, this.inRow - 1);
-    this.pausedUntilMs = nowMs + Math.min(LONGEST_PAUSE_MS, doubled);
+    const doubled =
+      FIRST_PAUSE_MS * 2 ** Math.min(8, this.consecutiveFailures - 1);
+    this.pausedUntilMs = nowMs + Math.min(MAX_PAUSE_MS, doubled);
   }
 }
--- a/src/policy/targetPermits.ts
+++ b/src/policy/targetPermits.ts
@@ -1,61 +1,61 @@
 /**
- * Assigns the slots of targets to the nodes that may use them.
+ * Assigns the slots of targets to nodes.
  *
- * Pattern: dozens of nodes with a few requests each, and targets with a few slots
- * each, nearly all of them in use. Nodes that choose by each other's latest
- * reports pick the same free slot at the same moment, and the request that loses
- * waits for the whole stay of another one. With permits by target no two nodes
- * use one slot, and a node needs to know nothing of the others' requests.
+ * Dozens of nodes have a few requests each, and targets have a few slots each,
+ * nearly all of them in use. Nodes that choose by each other's last reports pick
+ * the same free slot at the same moment, and one request then waits for the whole
+ * duration of the other. With permits by target, no two nodes use the same slot,
+ * and a node needs no information about the requests of others.
  */
 
 import {sum} from '../core/sum';
 
-/** Requests at each target by its id. */
+/** Number of requests by target id. */
 export type CountsByTarget = Readonly<Record<string, number>>;
 
-/** A target that may be used. */
+/** A target whose slots are assigned. */
 export interface PermitTarget {
   readonly id: string;
-  /** Requests that it takes at once. */
+  /** Requests that the target may hold at once. */
   readonly capacity: number;
   readonly availabilityZone: string;
-  /** Targets of one group slow each other down; empty when it works alone. */
+  /** Targets of one group slow each other down; empty if it is in no group. */
   readonly group: string;
 }
 
-/** Requests that all nodes may have in each group; without bound if absent. */
+/** Concurrency limit by group, over all nodes; unlimited if absent. */
 export type GroupConcurrency = ReadonlyMap<string, number>;
 
 const UNBOUNDED: GroupConcurrency = new Map();
 
-/** What a node reported, and what it may have in all. */
+/** Requests that a node reported, and its total concurrency. */
 export interface PermitDemand {
   readonly node: string;
-  /** Undefined when it is not known. */
+  /** Zone of the node; undefined when unknown. */
   readonly availabilityZone: string | undefined;
-  /** Requests that it may have at targets at once. */
+  /** Requests that the node may have in flight at all targets together. */
   readonly concurrency: number;
   readonly inUse: CountsByTarget;
 }
 
-/** Cost of another zone, in parts of a target's capacity. */
-const FAR_PENALTY = 0.2;
-/** Difference in use, in slots, from which an unused permit is moved. */
+/** Cost of a target in another zone, as a ratio of its capacity. */
+const REMOTE_ZONE_PENALTY = 0.2;
+/** Minimum difference in utilization, in slots, that moves an unused permit. */
 const MIN_IMBALANCE_SLOTS = 1.5;
-/** Permits moved with one renewal. */
+/** Maximum number of permits that one renewal moves. */
 const MAX_MOVES = 2;
 
-/** Permits of one service. */
+/** Assigns the permits of one service. */
 export class TargetPermits {
   private readonly held = new Map<string, Map<string, number>>();
-  /** Permits given out by target. */
-  private readonly given = new Map<string, number>();
-  private readonly givenToGroup = new Map<string, number>();
+  /** Number of assigned permits by target. */
+  private readonly assigned = new Map<string, number>();
+  private readonly assignedToGroup = new Map<string, number>();
   private readonly groupOf = new Map<string, string>();
   private targets: readonly PermitTarget[] = [];
   private groups = UNBOUNDED;
 
-  /** Takes over the targets and the bounds of their groups. */
+  /** Replaces the targets and the concurrency limits of their groups. */
   setTargets(
     targets: readonly PermitTarget[],
     groups: GroupConcurrency = UNBOUNDED
@@ -64,44 +64,47 @@
     if (this.targets === targets) return;
     this.targets = targets;
     this.groupOf.clear();
-    this.givenToGroup.clear();
+    this.assignedToGroup.clear();
     for (const {id, group} of targets) {
       this.groupOf.set(id, group);
-      this.countGroup(group, this.given.get(id) ?? 0);
+      this.adjustGroup(group, this.assigned.get(id) ?? 0);
     }
   }
 
   /**
-   * Renews the permits of a node that has just reported. A group that is over its
-   * bound has none: what ends there is not followed by another request.
+   * Renews the permits of a node that has just reported. It returns no permits for a
+   * group that exceeds its limit, so that no request there is followed by another.
    */
   renew(demand: PermitDemand): ReadonlyMap<string, number> {
-    const held = this.keepUsable(demand);
+    const held = this.updateHeld(demand);
     this.withdrawBeyondBounds(demand, held);
     const inUse = Object.values(demand.inUse);
     const wanted = Math.max(Math.floor(demand.concurrency), sum(inUse));
     let count = sum([...held.values()]);
     while (count > wanted && this.withdrawOne(demand, held)) count--;
-    while (count < wanted && this.giveOne(demand, held)) count++;
+    while (count < wanted && this.assignOne(demand, held)) count++;
     for (let moves = 0; moves < MAX_MOVES; moves++)
       if (!this.moveOne(demand, held)) break;
     return this.withinBounds(held);
   }
 
-  /** Takes back all permits of nodes that are gone. */
+  /** Revokes the permits of all nodes other than these. */
   retain(nodes: ReadonlySet<string>): void {
     for (const [node, held] of this.held) {
       if (nodes.has(node)) continue;
-      for (const [id, count] of held) this.count(id, -count);
+      for (const [id, count] of held) this.adjustAssigned(id, -count);
       this.held.delete(node);
     }
   }
 
-  /** Permits for targets that are gone end; requests at others count as held. */
-  private keepUsable({node, inUse}: PermitDemand): Map<string, number> {
+  /**
+   * Drops permits for targets that are gone. Requests in flight at the others count
+   * as permits, even if the node holds fewer.
+   */
+  private updateHeld({node, inUse}: PermitDemand): Map<string, number> {
     const before = this.held.get(node) ?? new Map<string, number>();
     const held = new Map<string, number>();
-    for (const [id, count] of before) this.count(id, -count);
+    for (const [id, count] of before) this.adjustAssigned(id, -count);
     for (const {id} of this.targets) {
       const count = Math.max(before.get(id) ?? 0, inUse[id] ?? 0);
       if (count > 0) this.set(held, id, count);
@@ -110,25 +113,26 @@
     return held;
   }
 
-  /** What a group may no longer run is not taken up again there. */
+  /** Withdraws unused permits in groups that exceed their limit. */
   private withdrawBeyondBounds(
     {inUse}: PermitDemand,
     held: Map<string, number>
   ): void {
     for (const {id, group} of this.targets) {
       const count = held.get(id) ?? 0;
-      const over = this.overOf(group);
+      const excess = this.excessOf(group);
       const unused = count - (inUse[id] ?? 0);
-      if (over >= 1 && unused > 0)
-        this.set(held, id, count - Math.min(unused, Math.floor(over)));
+      if (excess >= 1 && unused > 0)
+        this.set(held, id, count - Math.min(unused, Math.floor(excess)));
     }
   }
 
+  /** Leaves out the permits in groups that exceed their limit. */
   private withinBounds(
     held: ReadonlyMap<string, number>
   ): ReadonlyMap<string, number> {
     const ids = [...held].filter(
-      ([id]) => this.overOf(this.groupOf.get(id) ?? '') < 1
+      ([id]) => this.excessOf(this.groupOf.get(id) ?? '') < 1
     );
     return new Map(ids);
   }
@@ -137,24 +141,24 @@
     demand: PermitDemand,
     held: Map<string, number>
   ): boolean {
-    const worst = this.worstUnused(demand, held);
+    const worst = this.costliestUnused(demand, held);
     if (worst === undefined) return false;
     this.add(held, worst.id, -1);
     return true;
   }
 
-  private giveOne(demand: PermitDemand, held: Map<string, number>): boolean {
-    const best = this.bestFree(demand);
+  private assignOne(demand: PermitDemand, held: Map<string, number>): boolean {
+    const best = this.cheapestFree(demand);
     if (best === undefined) return false;
     this.add(held, best.id, 1);
     return true;
   }
 
-  /** Moves an unused permit from a crowded target to one that has room. */
+  /** Moves an unused permit to a target with a clearly lower cost. */
   private moveOne(demand: PermitDemand, held: Map<string, number>): boolean {
-    const worst = this.worstUnused(demand, held);
+    const worst = this.costliestUnused(demand, held);
     if (worst === undefined) return false;
-    const best = this.bestFree(demand, worst.group);
+    const best = this.cheapestFree(demand, worst.group);
     if (best === undefined) return false;
     const gain = this.costOf(worst, demand) - this.costOf(best, demand);
     if (gain * worst.capacity < MIN_IMBALANCE_SLOTS) return false;
@@ -163,7 +167,7 @@
     return true;
   }
 
-  private worstUnused(
+  private costliestUnused(
     demand: PermitDemand,
     held: ReadonlyMap<string, number>
   ): PermitTarget | undefined {
@@ -181,16 +185,16 @@
     return worst;
   }
 
-  /** `group` gives up a permit in exchange, and needs no room for another. */
-  private bestFree(
+  /** Ignores the limit of `group`, which loses a permit in exchange. */
+  private cheapestFree(
     demand: PermitDemand,
     group?: string
   ): PermitTarget | undefined {
     let best: PermitTarget | undefined;
     let least = Infinity;
     for (const target of this.targets) {
-      if ((this.given.get(target.id) ?? 0) >= target.capacity) continue;
-      if (target.group !== group && this.overOf(target.group) >= 0) continue;
+      if ((this.assigned.get(target.id) ?? 0) >= target.capacity) continue;
+      if (target.group !== group && this.excessOf(target.group) >= 0) continue;
       const cost = this.costOf(target, demand);
       if (cost >= least) continue;
       least = cost;
@@ -203,11 +207,11 @@
     {id, capacity, availabilityZone}: PermitTarget,
     demand: PermitDemand
   ): number {
-    const use = (this.given.get(id) ?? 0) / Math.max(1, capacity);
+    const utilization = (this.assigned.get(id) ?? 0) / Math.max(1, capacity);
     const isNear =
       demand.availabilityZone === undefined ||
       demand.availabilityZone === availabilityZone;
-    return use + (isNear ? 0 : FAR_PENALTY);
+    return utilization + (isNear ? 0 : REMOTE_ZONE_PENALTY);
   }
 
   private add(held: Map<string, number>, id: string, by: number): void {
@@ -215,26 +219,29 @@
   }
 
   private set(held: Map<string, number>, id: string, count: number): void {
-    this.count(id, count - (held.get(id) ?? 0));
+    this.adjustAssigned(id, count - (held.get(id) ?? 0));
     if (count > 0) held.set(id, count);
     else held.delete(id);
   }
 
-  private count(id: string, by: number): void {
-    const count = (this.given.get(id) ?? 0) + by;
-    if (count > 0) this.given.set(id, count);
-    else this.given.delete(id);
+  private adjustAssigned(id: string, by: number): void {
+    const count = (this.assigned.get(id) ?? 0) + by;
+    if (count > 0) this.assigned.set(id, count);
+    else this.assigned.delete(id);
     const group = this.groupOf.get(id);
-    if (group !== undefined) this.countGroup(group, by);
+    if (group !== undefined) this.adjustGroup(group, by);
   }
 
-  private countGroup(group: string, by: number): void {
-    this.givenToGroup.set(group, (this.givenToGroup.get(group) ?? 0) + by);
+  private adjustGroup(group: string, by: number): void {
+    this.assignedToGroup.set(
+      group,
+      (this.assignedToGroup.get(group) ?? 0) + by
+    );
   }
 
-  /** Permits beyond the bound of a group; negative while there is room. */
-  private overOf(group: string): number {
-    const given = this.givenToGroup.get(group) ?? 0;
-    return given - (this.groups.get(group) ?? Infinity);
+  /** Permits beyond the limit of a group; negative while it has room. */
+  private excessOf(group: string): number {
+    const assigned = this.assignedToGroup.get(group) ?? 0;
+    return assigned - (this.groups.get(group) ?? Infinity);
   }
 }
--- a/src/policy/windowBudget.ts
+++ b/src/policy/windowBudget.ts
@@ -1,67 +1,70 @@
 /**
- * Repeats as a bounded part of the requests in a sliding window.
+ * Limits retries to a ratio of the requests in a sliding window.
  *
- * The load it answers: when answers are lost or a group breaks, every request
- * is sent again at once, and what is left gets twice the load. The bound holds
- * for all nodes together in every span of the window, so nothing is saved up
- * from quiet times: each node takes a part of the fixed allowance, and the
- * share of its own requests.
+ * When responses are lost or a group breaks, every request would be retried at once
+ * and double the load of the remaining targets. The limit applies to all nodes
+ * together in every span of the window, so nothing accumulates in quiet times.
+ * Each node gets an equal part of the fixed allowance and the ratio of its own
+ * requests.
  */
 
-/** Bounds for all nodes together. */
+/** Limits for all nodes together. */
 export interface WindowBudgetLimits {
-  /** Repeats for each request. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Repeats in a window that are allowed besides. */
+  /** Retries per window that are allowed in addition to the ratio. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** Part of the bound that is used: callers count arrivals, we count sends. */
-const USED_PART = 0.7;
-/** Steps of the window; a repeat is forgotten one step late at most. */
-const STEPS = 20;
+/** Ratio of the limit that is used: callers count arrivals, this counts sends. */
+const SAFETY_RATIO = 0.7;
+/** Buckets of the window; a retry expires at most one bucket late. */
+const WINDOW_BUCKETS = 20;
 
-interface Step {
+interface Bucket {
   readonly number: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
-/** One service's budget at one node. */
+/** Retry budget of one service at one node. */
 export class WindowBudget {
-  private steps: Step[] = [];
+  private buckets: Bucket[] = [];
 
   constructor(private readonly limits: WindowBudgetLimits) {}
 
-  /** Counts the first send of a request. */
+  /** Counts the first attempt of a request. */
   request(nowMs: number): void {
-    this.step(nowMs).requests++;
+    this.currentBucket(nowMs).requests++;
   }
 
-  /** Takes one repeat; false when the budget is used up. */
+  /** Spends one retry; false when the budget is exhausted. */
   tryRepeat(nowMs: number, nodes: number): boolean {
-    const now = this.step(nowMs);
+    const current = this.currentBucket(nowMs);
     let requests = 0;
-    let repeats = 0;
-    for (const step of this.steps) {
-      requests += step.requests;
-      repeats += step.repeats;
+    let retries = 0;
+    for (const bucket of this.buckets) {
+      requests += bucket.requests;
+      retries += bucket.retries;
     }
     const {ratio, slack} = this.limits;
-    const bound = USED_PART * (ratio * requests + slack / Math.max(1, nodes));
-    if (repeats + 1 > bound) return false;
-    now.repeats++;
+    const bound =
+      SAFETY_RATIO * (ratio * requests + slack / Math.max(1, nodes));
+    if (retries + 1 > bound) return false;
+    current.retries++;
     return true;
   }
 
-  private step(nowMs: number): Step {
-    const number = Math.floor((nowMs * STEPS) / this.limits.windowMs);
-    const last = this.steps[this.steps.length - 1];
+  private currentBucket(nowMs: number): Bucket {
+    const number = Math.floor((nowMs * WINDOW_BUCKETS) / this.limits.windowMs);
+    const last = this.buckets[this.buckets.length - 1];
     if (last?.number === number) return last;
-    this.steps = this.steps.filter(step => step.number > number - STEPS - 1);
-    const step = {number, requests: 0, repeats: 0};
-    this.steps.push(step);
-    return step;
+    this.buckets = this.buckets.filter(
+      bucket => bucket.number > number - WINDOW_BUCKETS - 1
+    );
+    const bucket = {number, requests: 0, retries: 0};
+    this.buckets.push(bucket);
+    return bucket;
   }
 }
--- a/tests/admissionQueue.spec.ts
+++ b/tests/admissionQueue.spec.ts
@@ -23,24 +23,25 @@
 }
 
 describe('admission queue', () => {
-  it('should start requests while places are free', () => {
+  it('should start requests while slots are free', () => {
     const {outcomes, enter} = fixture(2);
     enter('a');
     enter('b');
     expect(outcomes.map(({kind}) => kind)).toEqual(['started', 'started']);
   });
 
-  // A burst of twice what the targets do: whoever would get a place too late
-  // for its latency target is told at once, not after it has waited in vain.
-  it('should refuse at once whose turn is expected too late', () => {
+  // Burst of twice the capacity: a request that would start too late for its
+  // latency target must be refused at once, not after it has waited in vain.
+  it('should refuse a request at once when its expected wait is too long', () => {
     const {outcomes, enter, queue} = fixture(10);
     for (let i = 0; i < 30; i++) enter(`r${i}`);
-    // A stay of 1 s at 10 places frees one each 100 ms: one or two may wait.
+    // With 10 slots and 1 s of service, a slot becomes free every 100 ms, so two
+    // requests can start within their 200 ms.
     expect(queue.waitingCount).toBe(2);
     expect(outcomes.filter(({kind}) => kind === 'refused')).toHaveLength(18);
   });
 
-  it('should start the more urgent first, then by arrival', () => {
+  it('should start more urgent requests first, then by arrival', () => {
     const {outcomes, enter, queue} = fixture(1);
     enter('running', 1, 5_000);
     enter('late', 2, 5_000);
@@ -51,8 +52,8 @@
     expect(started).toEqual(['running', 'urgent', 'late', 'next']);
   });
 
-  // The estimate may be wrong: streams may hold their places longer than usual.
-  it('should refuse a request whose patience ran out', () => {
+  // The estimated wait may be too short: streams may hold slots longer than usual.
+  it('should refuse a queued request after its longest wait', () => {
     const {outcomes, enter, queue} = fixture(1);
     enter('running', 1, 5_000, 0);
     enter('waits', 1, 2_500, 0);
@@ -62,7 +63,7 @@
     expect(outcomes[1]).toEqual({id: 'waits', kind: 'refused'});
   });
 
-  it('should let those that run go on when places are taken back', () => {
+  it('should not abort running requests when the limit shrinks', () => {
     const {enter, queue} = fixture(5);
     for (let i = 0; i < 5; i++) enter(`r${i}`);
     queue.setLimit(2);
@@ -72,9 +73,9 @@
     expect(queue.waitingCount).toBe(1);
   });
 
-  // Callers reach one node more than the others, which have places to spare.
-  // It would turn them away, though the next report brings it those places.
-  it('should let requests wait for places that others have free', () => {
+  // One node receives more callers than the others, which have free slots. It must
+  // not refuse them, because the next report brings it those slots.
+  it('should queue requests for slots that other nodes leave free', () => {
     const {outcomes, enter, queue} = fixture(2);
     queue.setLimit(2, 3);
     for (let i = 0; i < 7; i++) enter(`r${i}`);
@@ -85,7 +86,7 @@
     expect(kinds.filter(kind => kind === 'refused')).toHaveLength(2);
   });
 
-  it('should refuse at once whose patience ends before the next report', () => {
+  it('should refuse a request at once when it can’t wait for the next report', () => {
     const {outcomes, enter, queue} = fixture(1);
     queue.setLimit(1, 5);
     enter('a');
--- a/tests/groupLimits.spec.ts
+++ b/tests/groupLimits.spec.ts
@@ -35,7 +35,7 @@
   };
 }
 
-/** Limits after a second of such loads. */
+/** Returns the limits after one second of constant loads. */
 function limitsOf(groups: readonly GroupLoad[]) {
   const limits = new GroupLimits();
   const next = (nowMs: number) =>
@@ -50,10 +50,10 @@
   return next(1_000);
 }
 
-describe('concurrency limits of groups that step apart', () => {
-  // One rank of 64 is twelve times slower, and its group stands for 0.8 s a pass.
-  // With one limit for both groups two thirds of all callers were rejected.
-  it('should leave the limit of a group as it is when another one is slow', () => {
+describe('concurrency limits of groups that step independently', () => {
+  // One rank of 64 is twelve times slower, and each pass of its group takes 0.8 s.
+  // With one limit for both groups, two thirds of all callers were refused.
+  it('should not reduce the limit of a group when another one is slow', () => {
     const limits = limitsOf([
       group('well', {}),
       group('slow', {running: 120, paceMs: 800}),
@@ -66,8 +66,8 @@
     expect(limits.get('slow')?.concurrency).toBeLessThan(0.1 * SLOTS);
   });
 
-  // Without streams nothing would show that the rank is well again.
-  it('should go on probing a slow group', () => {
+  // Without streams, nothing would show that the rank has recovered.
+  it('should keep sending probe requests to a slow group', () => {
     const limits = limitsOf([
       group('well', {}),
       group('slow', {running: 3, paceMs: 500}),
@@ -86,7 +86,7 @@
       );
   });
 
-  it('should forget what a group that is no more has shown', () => {
+  it('should drop the correction of a removed group', () => {
     const limits = new GroupLimits();
     const next = (groups: readonly GroupLoad[], nowMs: number) =>
       limits.next({
--- a/tests/nodePolicies.spec.ts
+++ b/tests/nodePolicies.spec.ts
@@ -21,10 +21,10 @@
   };
 }
 
-describe('window budget', () => {
-  // Half of all answers get lost: every request is sent again at once. All
-  // nodes together must keep to the bound in every span of the window.
-  it('should keep repeats of all nodes within ratio and slack', () => {
+describe('sliding-window retry budget', () => {
+  // Half of all responses are lost, so every request is retried at once. All nodes
+  // together must stay within the limit in every span of the window.
+  it('should keep retries of all nodes within ratio and slack', () => {
     const limits = {ratio: 0.2, slack: 96, windowMs: 10_000};
     const nodes = 7;
     const budgets = Array.from({length: nodes}, () => new WindowBudget(limits));
@@ -41,7 +41,7 @@
     expect(last).toBeLessThanOrEqual(0.2 * requests + 96);
   });
 
-  it('should save nothing up from quiet times', () => {
+  it('should not accumulate retries in quiet times', () => {
     const limits = {ratio: 0, slack: 10, windowMs: 1_000};
     const budget = new WindowBudget(limits);
     let taken = 0;
@@ -50,9 +50,9 @@
   });
 });
 
-describe('rate of a cold target', () => {
-  // A target may turn cold at any moment, and it is known only later: what all
-  // nodes send together must be bearable all the time.
+describe('rate limit of a cold target', () => {
+  // A target may become cold at any moment, and nodes learn of it only later, so all
+  // nodes together must stay within its limit at all times.
   it.each([1, 3, 7, 20, 39, 300, 1_000])(
     'should keep %i nodes together under the bound',
     nodes => {
@@ -76,14 +76,14 @@
     }
   );
 
-  // A node that owns all slots of a target must be able to fill them again as
-  // they come free.
+  // A node with permits for all slots of a target must be able to refill them as
+  // they become free.
   it('should let a node that holds all permits use half of the bound', () => {
     const all = {bound: 30, nodes: 39, nodeId: 'n', targetId: 't', capacity: 4};
     expect(coldRateOf({...all, permits: 4})).toBeGreaterThanOrEqual(13);
   });
 
-  it('should count every span of a second', () => {
+  it('should limit sends in every span of a second', () => {
     const window = new RateWindow();
     window.add(0);
     window.add(900);
@@ -93,8 +93,8 @@
   });
 });
 
-describe('choice of a target', () => {
-  it('should prefer the near one until it is fuller by a fifth', () => {
+describe('choice of a target by permits', () => {
+  it('should prefer the local zone until its target is fuller by a fifth', () => {
     const near = option({id: 'near', own: 1});
     const far = option({id: 'far', isNear: false});
     expect(chooseTarget([near, far], NO_TIE)?.id).toBe('near');
@@ -102,22 +102,22 @@
     expect(chooseTarget([fuller, far], NO_TIE)?.id).toBe('far');
   });
 
-  // Another node uses the slots that this one has no permit for: the request
-  // would wait there for the whole stay of another one.
-  it('should use a target only within its permits while others have some left', () => {
+  // Slots without a permit are used by other nodes: the request would wait there for
+  // the whole duration of another one.
+  it('should stay within the permits of a target while others have unused ones', () => {
     const used = option({id: 'used', own: 0, permits: 0});
     const free = option({id: 'free', own: 2, permits: 3, isNear: false});
     expect(chooseTarget([used, free], NO_TIE)?.id).toBe('free');
   });
 
-  it('should use the least used target when no permit is left', () => {
+  it('should choose the least utilized target when no permit is unused', () => {
     const busy = option({id: 'busy', own: 3, permits: 3});
     const less = option({id: 'less', own: 1, permits: 1});
     expect(chooseTarget([busy, less], NO_TIE)?.id).toBe('less');
   });
 
-  // Its health check is good, but it fails part of what it gets.
-  it('should avoid a target that fails what it gets', () => {
+  // The target passes its health check, but fails some of its requests.
+  it('should avoid a target that fails requests', () => {
     const grey = option({id: 'grey', failureRate: 0.5});
     const good = option({id: 'good', own: 4});
     expect(chooseTarget([grey, good], NO_TIE)?.id).toBe('good');
@@ -130,7 +130,7 @@
   });
 });
 
-describe('health of a target', () => {
+describe('passive health of a target', () => {
   it('should pause longer with each failure to connect', () => {
     const health = new TargetHealth();
     health.note({kind: 'unreachable'}, 0);
@@ -144,10 +144,10 @@
   });
 });
 
-describe('pace of passes', () => {
-  // A slow rank makes passes of 400 ms. Between two of them the pace read 0, no
-  // pass was bounded any more, and all slots were filled.
-  it('should last until the next pass is due, however long passes are', () => {
+describe('measured pass duration', () => {
+  // A slow rank caused passes of 400 ms. Between two of them the measured duration
+  // was 0, so that nothing limited the passes and all slots were filled.
+  it('should stay known until the next pass is due, however long passes are', () => {
     const pace = new PassPace();
     pace.note(430, 1_000);
     expect(pace.paceMs(1_400)).toBe(430);
--- a/tests/outages.spec.ts
+++ b/tests/outages.spec.ts
@@ -4,58 +4,59 @@
 import {groupOpenings, isInOpenGroup} from '../src/site/groupOpenings';
 
 function rank(
-  place: number,
+  index: number,
   epoch: number,
   open: boolean,
   state: TargetRecord['state'] = 'ready'
 ): TargetRecord {
   return {
-    id: `t${place}`,
+    id: `t${index}`,
     bornMs: 1,
     sequence: 1,
     service: 's',
-    address: `10.0.0.${place}:1`,
+    address: `10.0.0.${index}:1`,
     availabilityZone: 'a',
     slots: 8,
     state,
     coldMs: 0,
-    group: {name: 'g', epoch, rank: place, size: 3, open},
+    group: {name: 'g', epoch, rank: index, size: 3, open},
   };
 }
 
 describe('outage of a group of ranks', () => {
-  // One rank is lost. The first of the others tells that the group is broken;
-  // requests sent to those that have not told yet would wait for the lost one
-  // for a second and a half, and then come back.
-  it('should take the whole group for broken when one rank says so', () => {
+  // One rank is lost, and the first of the others reports the group as broken.
+  // Requests to ranks that have not reported yet would wait for the lost one for a
+  // second and a half before they fail.
+  it('should consider the whole group broken when one rank reports it', () => {
     const records = [rank(0, 1, true), rank(1, 1, false), rank(2, 1, true)];
     const openings = groupOpenings(records);
     expect(records.some(one => isInOpenGroup(one, openings))).toBe(false);
   });
 
-  // The group has formed anew, and one rank has told so. Its callers would wait
-  // for up to another heartbeat until all ranks have.
-  it('should take the whole group for open when one rank tells of its new life', () => {
+  // The group has formed again, and one rank has reported it. Until all ranks have,
+  // callers would wait for up to another heartbeat.
+  it('should consider the whole group open when one rank reports its new epoch', () => {
     const records = [rank(0, 1, false), rank(1, 2, true), rank(2, 1, false)];
     const openings = groupOpenings(records);
     expect(records.every(one => isInOpenGroup(one, openings))).toBe(true);
   });
 
-  it('should not go by a rank that is gone', () => {
+  it('should ignore a rank that is gone', () => {
     const records = [rank(0, 5, true, 'gone'), rank(1, 1, false)];
     expect(groupOpenings(records).get('g')).toEqual({epoch: 1, isOpen: false});
   });
 
-  it('should take targets that work alone as open', () => {
+  it('should consider targets without a group open', () => {
     const alone = {...rank(0, 1, false), group: undefined};
     expect(isInOpenGroup(alone, groupOpenings([alone]))).toBe(true);
   });
 });
 
-describe('return after an outage', () => {
-  // An outage lasts two to four seconds. Callers wait for a third of their time
-  // at most: later words are cut to that, and all would come at one moment.
-  it('should call callers back late, spread, within a third of their time', () => {
+describe('Retry-After in an outage', () => {
+  // An outage lasts two to four seconds. Callers wait at most a third of their
+  // remaining time: longer values would be cut to that, and all callers would retry
+  // at the same moment.
+  it('should be late, spread and within a third of the remaining time', () => {
     for (const random of [0, 0.5, 0.999]) {
       const ms = outageRetryMs(8_000, () => random);
       expect(ms).toBeGreaterThanOrEqual(1_500);
@@ -66,13 +67,13 @@
     expect(spread).toBeGreaterThan(500);
   });
 
-  it('should keep to a third of a short time', () => {
+  it('should stay within a third of a short remaining time', () => {
     expect(outageRetryMs(1_200, () => 0.999)).toBeLessThanOrEqual(400);
     expect(outageRetryMs(-5, () => 0.5)).toBe(0);
   });
 });
 
-describe('watch for a group that stands still', () => {
+describe('detection of a stalled group', () => {
   function streaming(streams: number): StallWatch {
     const watch = new StallWatch();
     for (let i = 0; i < streams; i++) watch.opened();
@@ -80,9 +81,9 @@
     return watch;
   }
 
-  // All streams of a node fall silent together: their group waits for a rank
-  // that is lost. A switch of maps holds it for a tenth of a second only.
-  it('should tell once all streams have been silent', () => {
+  // All streams of a node fall silent together when their group waits for a lost
+  // rank. A map switch holds passes for only a tenth of a second.
+  it('should detect a stall once all streams have been silent', () => {
     const watch = streaming(3);
     expect(watch.isStalled(1_300)).toBe(false);
     expect(watch.isStalled(1_700)).toBe(true);
@@ -90,11 +91,11 @@
     expect(watch.isStalled(1_800)).toBe(false);
   });
 
-  it('should not go by a single stream', () => {
+  it('should ignore a single silent stream', () => {
     expect(streaming(1).isStalled(9_000)).toBe(false);
   });
 
-  it('should tell nothing when the streams have ended', () => {
+  it('should detect no stall once the streams have ended', () => {
     const watch = streaming(2);
     watch.closed();
     watch.closed();
@@ -102,10 +103,10 @@
   });
 });
 
-describe('return to a node without a site', () => {
-  // All power was lost. Who comes back half a second later finds no leader yet,
-  // and is rejected for good.
-  it('should be late while no leader is known, and soon otherwise', () => {
+describe('Retry-After of a node without a site', () => {
+  // After a power loss, a caller that retries half a second later finds no leader
+  // yet and is refused for good.
+  it('should be late while no leader is known, and early otherwise', () => {
     expect(noSiteRetryMs(false, 8_000, () => 0)).toBeGreaterThan(1_500);
     expect(noSiteRetryMs(false, Infinity, () => 0.5)).toBeLessThan(2_700);
     expect(noSiteRetryMs(true, 8_000, () => 0)).toBe(500);
--- a/tests/retryTiming.spec.ts
+++ b/tests/retryTiming.spec.ts
@@ -2,16 +2,16 @@
 
 const HALF = () => 0.5;
 
-describe('time to come back', () => {
-  // One of fifty finds no place for a moment: a second try is still in time.
-  it('should be short after a gap of a moment', () => {
+describe('Retry-After of refused requests', () => {
+  // One of fifty requests finds no free slot; a quick retry is still in time.
+  it('should be short after a momentary shortage', () => {
     const timing = new RetryTiming();
     for (let i = 0; i < 50; i++) timing.noteAsked(i * 20);
     expect(timing.refuse(1_000, HALF)).toBeLessThan(400);
   });
 
-  // Half of a burst is turned away. Back after a moment, the same requests would
-  // meet the same burst, and have no third try.
+  // Half of a burst is refused. After a quick retry the same requests would meet the
+  // same burst, and callers make no third attempt.
   it('should be long in a lasting shortage', () => {
     const timing = new RetryTiming();
     let retryInMs = 0;
@@ -22,7 +22,7 @@
     expect(retryInMs).toBeGreaterThan(1_000);
   });
 
-  it('should forget a shortage that is over', () => {
+  it('should be short again after the shortage', () => {
     const timing = new RetryTiming();
     for (let i = 0; i < 50; i++) {
       timing.noteAsked(i * 20);
--- a/tests/shareAllocation.spec.ts
+++ b/tests/shareAllocation.spec.ts
@@ -4,10 +4,10 @@
   return [...shares.values()].reduce((total, share) => total + share, 0);
 }
 
-describe('places lent to nodes', () => {
-  // Callers reach one node with three times the requests of the others. With
-  // equal parts it turned callers away while places stood free elsewhere.
-  it('should give a node what it wants while others want less', () => {
+describe('slots granted to nodes', () => {
+  // One node receives three times the requests of the others. With equal parts it
+  // refused callers while other nodes had free slots.
+  it('should meet the demand of a node while others want less', () => {
     const shares = allocateShares(96, [
       {node: 'a', wanted: 50, arrivals: 20},
       {node: 'b', wanted: 10, arrivals: 5},
@@ -18,9 +18,9 @@
     expect(sum(shares)).toBe(96);
   });
 
-  // All want more than there is: nobody gets more than an equal part of what
-  // those that want little leave.
-  it('should never lend more places than there are', () => {
+  // The total demand exceeds the limit: no node gets more than an equal part of what
+  // nodes with little demand leave.
+  it('should never grant more slots than there are', () => {
     const shares = allocateShares(30, [
       {node: 'a', wanted: 100, arrivals: 50},
       {node: 'b', wanted: 40, arrivals: 20},
@@ -31,7 +31,7 @@
     expect(shares.get('a')).toBe(13);
   });
 
-  it('should leave an idle node one place to begin with', () => {
+  it('should leave an idle node one slot', () => {
     const shares = allocateShares(2, [
       {node: 'a', wanted: 20, arrivals: 9},
       {node: 'b', wanted: 0, arrivals: 0},
--- a/tests/targetPermits.spec.ts
+++ b/tests/targetPermits.spec.ts
@@ -26,7 +26,10 @@
   return permits.renew(demand);
 }
 
-/** Nodes that fill their permits and give back at random, as time goes on. */
+/**
+ * Nodes use and release permits at random; returns how often a target had more
+ * requests than slots.
+ */
 function play(seed: number, targetCount: number, nodeCount: number) {
   const generator = xorshift128plus(seed);
   const random = (below: number) => Math.abs(generator.next()) % below;
@@ -64,8 +67,8 @@
 }
 
 describe('permits for the slots of targets', () => {
-  // Nodes that each take what looks free send two requests to one slot, and one
-  // of them waits for the whole stay of the other.
+  // Nodes that each choose the slot that looks free send two requests to it, and one
+  // of them waits for the whole duration of the other.
   it('should never let two nodes use one slot', () => {
     for (let seed = 1; seed <= 3; seed++) expect(play(seed, 129, 39)).toBe(0);
     expect(play(6, 12, 7)).toBe(0);
@@ -77,7 +80,7 @@
     expect([...held.values()]).toEqual([3, 3, 3, 3, 3, 3]);
   });
 
-  it('should prefer targets of the own zone until they are fuller by a fifth', () => {
+  it('should prefer targets of the local zone until they are fuller by a fifth', () => {
     const permits = new TargetPermits();
     const held = renew(permits, demand('n', 4), targets(4, ['a', 'b']));
     expect(held.get('t0')).toBe(1);
@@ -85,8 +88,8 @@
     expect(held.get('t1')).toBe(1);
   });
 
-  // A busy node needs the slots at once that another one does not use.
-  it('should give what one node returns to the next that reports', () => {
+  // A busy node immediately needs the slots that another node no longer uses.
+  it('should assign returned permits to the next node that reports', () => {
     const permits = new TargetPermits();
     const all = targets(2);
     renew(permits, demand('idle', 8), all);
@@ -96,15 +99,15 @@
     expect([...held.values()].reduce((sum, count) => sum + count, 0)).toBe(6);
   });
 
-  it('should keep the permits of requests that still run', () => {
+  it('should keep the permits of running requests', () => {
     const permits = new TargetPermits();
     const held = renew(permits, demand('n', 1, {t0: 3}), targets(2));
     expect(held.get('t0')).toBe(3);
   });
 
-  // A node is lost with all its permits: without it the others would never use
-  // those slots again.
-  it('should take the permits of lost nodes back', () => {
+  // A node is lost while it holds permits. If they were not revoked, the other nodes
+  // could never use those slots again.
+  it('should revoke the permits of lost nodes', () => {
     const permits = new TargetPermits();
     renew(permits, demand('lost', 8), targets(2));
     permits.retain(new Set(['n']));
@@ -112,9 +115,9 @@
     expect([...held.values()]).toEqual([4, 4]);
   });
 
-  // Ranks are back after an outage. Nobody has a permit for them, and those who
-  // hold as many as they may would never get one.
-  it('should move unused permits to a target that came back', () => {
+  // Ranks return after an outage. No node has permits for them, and nodes that hold
+  // their maximum would never get one.
+  it('should move unused permits to a target that has returned', () => {
     const permits = new TargetPermits();
     renew(permits, demand('n', 4), targets(1));
     for (let i = 0; i < 3; i++) renew(permits, demand('n', 4), targets(2));
@@ -133,9 +136,9 @@
       .filter(([id]) => id.startsWith('h') === (group === 'h'))
       .reduce((sum, [, count]) => sum + count, 0);
 
-  // A rank of one group is slow. What the group may no longer run must go to the
-  // other one, and not wait for a turn in slots that stay empty.
-  it('should give permits in the group that has room', () => {
+  // A rank of one group is slow. Requests beyond the limit of that group must go to
+  // the other one instead of waiting for slots that stay empty.
+  it('should assign permits in the group that has room', () => {
     const permits = new TargetPermits();
     permits.setTargets(twoGroups, new Map([['g', 2]]));
     const given = permits.renew(demand('n', 12));
@@ -143,9 +146,9 @@
     expect(held(given, 'h')).toBe(10);
   });
 
-  // Requests that run in a slow group end one by one. Each end must not be
-  // followed by another request there.
-  it('should give no permit in a group that is over its bound', () => {
+  // Requests in a slow group end one by one, and none of them may be followed by
+  // another request there.
+  it('should return no permits in a group that exceeds its limit', () => {
     const permits = new TargetPermits();
     permits.setTargets(twoGroups);
     const before = permits.renew(demand('n', 24));
