--- a/src/policy/admissionQueue.ts
+++ b/src/policy/admissionQueue.ts
@@ -26,8 +26,9 @@
 /** Weight of one sample in the moving average of the service time. */
 const SERVICE_TIME_EWMA_ALPHA = 0.03;
 /**
- * A request that can wait at least this long may be queued for slots that other nodes leave
- * unused: the leader moves them here after the next report of this node.
+ * A request that can wait at least this long may be queued for slots that other
+ * nodes leave unused: the leader moves them here after the next report of this
+ * node.
  */
 const MIN_BORROW_WAIT_MS = 150;
 /** Assumed service time before the first request has ended. */
