--- a/src/control/log/coreEvents.ts
+++ b/src/control/log/coreEvents.ts
@@ -1,11 +1,16 @@
-/** What goes into the pure core of the log, and what comes out. */
+/**
+ * Inputs (events) and outputs (effects) of the Raft core, and its options.
+ *
+ * A ticket is a number that the driver assigns to a peer request, a proposal
+ * or a read barrier. The effect that completes it carries the same ticket.
+ */
 
 import type {Command} from '../state/command';
 import type {LogEntry, LogSnapshot, LogWrite} from './entry';
 import type {ForgetRule} from './logOptions';
 import type {CoreReply, CoreRequest} from './messages';
 
-/** Something that happened; each is handed over with the present time. */
+/** An input of the core. Each is passed in with the current time. */
 export type CoreEvent =
   | {readonly kind: 'tick'}
   | {
@@ -14,13 +19,13 @@
       readonly message: CoreRequest;
     }
   | {readonly kind: 'reply'; readonly from: string; readonly message: CoreReply}
-  /** The request got no answer; whether it took effect is not known. */
+  /** No reply came to the request; it may have taken effect all the same. */
   | {
       readonly kind: 'sendFailed';
       readonly to: string;
       readonly message: CoreRequest;
     }
-  /** All writes up to this number are durable. */
+  /** All writes up to and including this sequence number are durable. */
   | {readonly kind: 'synced'; readonly seq: number}
   | {
       readonly kind: 'propose';
@@ -28,16 +33,16 @@
       readonly command: Command;
     }
   | {readonly kind: 'readBarrier'; readonly ticket: number}
-  /** This instance is about to stop. */
+  /** This instance is about to stop and gives up leadership. */
   | {readonly kind: 'resign'}
-  /** The state machine's snapshot right after applying `index`. */
+  /** The state machine took a snapshot right after applying `index`. */
   | {
       readonly kind: 'snapshotTaken';
       readonly index: number;
       readonly data: string;
     };
 
-/** Something that the driver has to do, in the order given. */
+/** An action for the driver. Actions are performed in the order given. */
 export type CoreEffect =
   | {
       readonly kind: 'persist';
@@ -56,13 +61,16 @@
     }
   | {readonly kind: 'apply'; readonly entries: readonly LogEntry[]}
   | {readonly kind: 'restore'; readonly snapshot: LogSnapshot}
-  /** The proposal stands in the leader's log; its outcome is still open. */
+  /** The leader appended the proposal at `index`; it is not committed yet. */
   | {
       readonly kind: 'proposed';
       readonly ticket: number;
       readonly index: number;
     }
-  /** The proposal or barrier was not taken in. */
+  /**
+   * The proposal or read barrier was rejected because this instance is not the
+   * leader, or stopped being the leader before the barrier completed.
+   */
   | {
       readonly kind: 'refused';
       readonly ticket: number;
@@ -74,31 +82,36 @@
       readonly index: number;
     }
   | {readonly kind: 'elected'; readonly term: number}
-  /** Outcomes of open proposals will not be known here. */
+  /** This instance will not learn the outcome of its open proposals. */
   | {readonly kind: 'leadershipLost'}
-  /** What stands on this disk belongs to no group; start as a wiped one. */
+  /**
+   * The stored log belongs to a group that never committed anything. Discard it
+   * and start again as a wiped instance.
+   */
   | {readonly kind: 'rejoin'; readonly reason: string};
 
-/** Times of elections and replication, in milliseconds. */
+/** Timers of elections and replication, in milliseconds. */
 export interface LogTiming {
   readonly heartbeatMs: number;
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
-  /** A leader that heard from no quorum for so long steps down. */
+  /** A leader without replies from a quorum for this long steps down. */
   readonly checkQuorumMs: number;
   /**
-   * Longest wait for a leader of an instance that has just started. It knows of
-   * none; a leader that works keeps it from standing. As after any other loss
-   * of the leader when absent.
+   * Upper bound of the random first election timeout after a start. It may be
+   * short: an active leader still prevents the election, because its followers
+   * deny the pre-vote. When absent, the first timeout lies between
+   * `electionMinMs` and `electionMaxMs` like every other.
    */
   readonly firstElectionMs?: number;
-  /** An unanswered append or snapshot is sent again after this. */
+  /** An append or snapshot without a reply is sent again after this time. */
   readonly resendMs: number;
 }
 
 /**
- * Defaults: a new leader stands within about a second. Three heartbeats fit
- * into the shortest election timeout, so one late one unseats nobody.
+ * Defaults. A new leader is elected within about a second. Three heartbeats fit
+ * into the shortest election timeout, so that one late heartbeat does not start
+ * an election.
  */
 export const DEFAULT_TIMING: LogTiming = {
   heartbeatMs: 200,
@@ -108,24 +121,26 @@
   resendMs: 500,
 };
 
-/** Fixed facts of one instance. */
+/** Options of the Raft core of one instance. */
 export interface CoreOptions {
   readonly id: string;
-  /** Ids of the other instances known at the moment. */
+  /** Ids of all other instances currently known. */
   readonly peerIds: () => readonly string[];
-  /** Ids that found the group; this one and all peers when absent. */
+  /** Ids of the instances that found the group; all known ones when absent. */
   readonly founders?: readonly string[];
-  /** When a silent voter is dropped; never when absent. */
-  readonly forget?: ForgetRule;
-  /** From 0 to below 1. */
+  /** When to remove a silent voter from the group; never when absent. */
+  readonly voterEviction?: ForgetRule;
+  /** Returns a number from 0 up to, but not including, 1. */
   readonly random: () => number;
   readonly timing: LogTiming;
-  /** Most entries in one append. */
+  /** Maximum number of entries in one append. */
   readonly batchEntries: number;
-  /** Most characters of entries in one append, unless one alone has more. */
+  /**
+   * Maximum size of the entries in one append, unless a single one exceeds it.
+   */
   readonly batchChars: number;
-  /** Most characters of a snapshot in one message. */
+  /** Maximum size of a snapshot chunk, in characters. */
   readonly chunkChars: number;
-  /** Entries kept behind a snapshot for followers that lag a little. */
+  /** Entries retained behind a snapshot for followers that lag a little. */
   readonly trailingEntries: number;
 }
--- a/src/control/log/coreState.ts
+++ b/src/control/log/coreState.ts
@@ -1,4 +1,4 @@
-/** State shared by the parts of the log's pure core, and its basic moves. */
+/** State of the Raft core, and the operations that its modules share. */
 
 import type {CoreEffect, CoreOptions} from './coreEvents';
 import type {
@@ -14,53 +14,60 @@
 import type {CoreReply} from './messages';
 import type {LogRole} from './replicatedLog';
 
-/** What the leader knows of one peer. */
+/** Replication state of one peer, as tracked by the leader. */
 export interface PeerProgress {
-  /** Incarnation that lives there, once known. */
+  /** The peer's current incarnation, once known. */
   incarnation?: string;
   nextIndex: number;
-  /** Synced there up to this index. */
+  /** The peer has synced its log up to this index. */
   matchIndex: number;
-  /** Request number of the append or snapshot that is on its way. */
+  /** Sequence number of the outstanding append or snapshot request. */
   inFlight?: number;
   inFlightSince: number;
-  /** Snapshot on its way there, kept until it is whole there. */
+  /** Snapshot being sent, kept until the peer has all of it. */
   transfer?: {readonly snapshot: LogSnapshot; readonly offset: number};
-  /** Leader's clock when the last answer came. */
-  heardAt: number;
-  /** Leader's clock when it sent the last message that was answered. */
+  /** Leader's clock when the last reply arrived. */
+  lastReplyAt: number;
+  /** Leader's clock when it sent the latest request that was answered. */
   ackedSentAt: number;
+  /** Highest read round that the peer has confirmed. */
   ackedRound: number;
 }
 
-/** State of a leader. */
+/** State that exists only while this instance is the leader. */
 export interface Leadership {
   readonly progress: Map<string, PeerProgress>;
-  /** The term's first entry; commits what earlier terms left. */
+  /**
+   * Index of the no-op entry that starts the term. Committing it also commits
+   * all entries of earlier terms.
+   */
   readonly noopIndex: number;
-  heartbeatAt: number;
-  /** Number of the latest read round sent out. */
+  nextHeartbeatAt: number;
+  /**
+   * Number of the latest read round. In a read round a quorum confirms by its
+   * replies that this instance is still the leader.
+   */
   round: number;
-  /** Barriers that the latest round confirms. */
+  /** Read barriers that the latest round will confirm. */
   roundTickets: readonly number[];
-  /** Barriers that came too late for the latest round. */
+  /** Read barriers requested after the latest round started. */
   waitingTickets: readonly number[];
 }
 
-/** Phase of a candidacy and the incarnations that granted it. */
+/** Phase of an election and the incarnations that granted their vote. */
 export interface Candidacy {
   readonly phase: 'preVote' | 'vote';
   readonly granted: Set<string>;
 }
 
-/** A part of a leader's snapshot. */
+/** A leader's snapshot that has been received in part. */
 export interface IncomingSnapshot {
-  /** Sender and position; chunks of another one do not fit. */
+  /** Identifies sender and snapshot; chunks with another key do not belong. */
   readonly key: string;
   readonly data: string;
 }
 
-interface HeldUntilSynced {
+interface DeferredUntilSynced {
   readonly seq: number;
   readonly run: () => void;
 }
@@ -70,7 +77,7 @@
   lastIndex: number;
 }
 
-/** Mutable state of one instance; the modules beside it hold the rules. */
+/** Mutable state of one instance; the modules beside it implement the rules. */
 export class CoreState {
   readonly log: EntryLog;
   now = 0;
@@ -81,18 +88,18 @@
   electionDeadline = 0;
   leadership: Leadership | undefined;
   candidacy: Candidacy | undefined;
-  /** Snapshot that is coming in. */
+  /** Snapshot that is being received. */
   incoming: IncomingSnapshot | undefined;
-  /** Number of the last request sent; numbers are never used twice. */
+  /** Sequence number of the last request sent; numbers are never reused. */
   requestSeq = 0;
-  /** Entries up to here are durable on our own disk. */
+  /** Entries up to this index are durable on the local disk. */
   syncedIndex: number;
   private hardState: HardState;
   private writeSeq = 0;
   private syncedSeq = 0;
-  private hardSeq = 0;
-  private held: HeldUntilSynced[] = [];
-  private tails: UnsyncedTail[] = [];
+  private hardStateSeq = 0;
+  private deferred: DeferredUntilSynced[] = [];
+  private unsyncedTails: UnsyncedTail[] = [];
 
   constructor(
     readonly options: CoreOptions,
@@ -104,11 +111,12 @@
     this.commitIndex = durable.snapshot?.index ?? 0;
     this.syncedIndex = this.log.lastIndex;
     this.now = nowMs;
-    this.electionDeadline = this.firstDeadline();
-    // Alone, there is nobody to wait for.
+    this.electionDeadline = this.firstElectionDeadline();
+    // A single voter has no other leader to wait for.
     if (this.isVoter && this.voters.length === 1) this.electionDeadline = nowMs;
   }
 
+  /** Raft's hard state: term, vote, incarnation and group, as last written. */
   get hard(): HardState {
     return this.hardState;
   }
@@ -125,12 +133,12 @@
     return this.log.configuration().configuration.voters;
   }
 
-  /** Whether this very incarnation has a vote. */
+  /** Whether the current incarnation of this instance has a vote. */
   get isVoter(): boolean {
     return this.voters.some(voter => this.isSelf(voter));
   }
 
-  /** Whether nothing was ever stored in this log. */
+  /** Whether the log holds no entry and no snapshot. */
   get isEmpty(): boolean {
     return this.log.lastIndex === 0;
   }
@@ -147,7 +155,7 @@
     );
   }
 
-  /** Whether the voters for which `test` holds make a quorum. */
+  /** Whether the voters that pass `test` form a quorum. */
   hasQuorum(test: (voter: Voter) => boolean): boolean {
     const voters = this.voters;
     const count = voters.filter(test).length;
@@ -158,67 +166,72 @@
     this.effects.push(effect);
   }
 
-  /** Starts a durable write and returns its number. */
+  /** Starts a durable write and returns its sequence number. */
   persist(...writes: readonly LogWrite[]): number {
     this.writeSeq++;
     this.emit({kind: 'persist', seq: this.writeSeq, writes});
     return this.writeSeq;
   }
 
-  setHard(change: Partial<HardState>): void {
+  setHardState(change: Partial<HardState>): void {
     this.hardState = {...this.hardState, ...change};
-    this.hardSeq = this.persist({kind: 'hardState', hard: this.hardState});
+    this.hardStateSeq = this.persist({kind: 'hardState', hard: this.hardState});
   }
 
-  /** Appends over whatever stands from the first entry's index on. */
+  /** Appends entries, replacing all from the first one's index on. */
   append(entries: readonly LogEntry[]): void {
     const first = entries[0];
     if (first === undefined) return;
     this.log.append(entries);
     this.syncedIndex = Math.min(this.syncedIndex, first.index - 1);
-    for (const tail of this.tails)
+    for (const tail of this.unsyncedTails)
       tail.lastIndex = Math.min(tail.lastIndex, first.index - 1);
     const seq = this.persist({kind: 'append', entries});
-    this.tails.push({seq, lastIndex: this.log.lastIndex});
+    this.unsyncedTails.push({seq, lastIndex: this.log.lastIndex});
   }
 
-  /** After a snapshot took the place of the log. */
-  markReset(seq: number): void {
+  /**
+   * Updates the synced index after a leader's snapshot replaced the whole log;
+   * `seq` is the write that stores it.
+   */
+  trackLogReset(seq: number): void {
     this.syncedIndex = 0;
-    this.tails = [{seq, lastIndex: this.log.lastIndex}];
+    this.unsyncedTails = [{seq, lastIndex: this.log.lastIndex}];
   }
 
-  /** Runs `run` once all writes so far are durable. */
+  /** Calls `run` once all writes issued so far are durable. */
   whenAllSynced(run: () => void): void {
     this.whenSynced(this.writeSeq, run);
   }
 
-  /** Sends an answer once the term and vote that it rests on are durable. */
+  /** Sends a reply once the term and vote that it states are durable. */
   reply(ticket: number, message: CoreReply): void {
-    this.whenSynced(this.hardSeq, () =>
+    this.whenSynced(this.hardStateSeq, () =>
       this.emit({kind: 'reply', ticket, message})
     );
   }
 
-  /** Like `reply`, for an answer that vouches for entries up to `index`. */
-  replyStored(ticket: number, index: number, message: CoreReply): void {
+  /**
+   * Like `reply`, for a reply that confirms storage of entries up to `index`.
+   */
+  replyWhenStored(ticket: number, index: number, message: CoreReply): void {
     const run = () => this.emit({kind: 'reply', ticket, message});
     if (index > this.syncedIndex) this.whenAllSynced(run);
-    else this.whenSynced(this.hardSeq, run);
+    else this.whenSynced(this.hardStateSeq, run);
   }
 
   onSynced(seq: number): void {
     this.syncedSeq = Math.max(this.syncedSeq, seq);
-    for (const tail of this.tails)
+    for (const tail of this.unsyncedTails)
       if (tail.seq <= seq)
         this.syncedIndex = Math.max(this.syncedIndex, tail.lastIndex);
-    this.tails = this.tails.filter(tail => tail.seq > seq);
-    const due = this.held.filter(item => item.seq <= seq);
-    this.held = this.held.filter(item => item.seq > seq);
+    this.unsyncedTails = this.unsyncedTails.filter(tail => tail.seq > seq);
+    const due = this.deferred.filter(item => item.seq <= seq);
+    this.deferred = this.deferred.filter(item => item.seq > seq);
     for (const item of due) item.run();
   }
 
-  private firstDeadline(): number {
+  private firstElectionDeadline(): number {
     const {electionMinMs, electionMaxMs, firstElectionMs} = this.options.timing;
     return firstElectionMs === undefined
       ? this.randomDeadline(electionMinMs, electionMaxMs)
@@ -230,7 +243,10 @@
     this.electionDeadline = this.randomDeadline(electionMinMs, electionMaxMs);
   }
 
-  /** After a candidacy there is no leader to wait for, only other candidates. */
+  /**
+   * Sets the shorter timeout of a candidate, which has no leader to wait for,
+   * only other candidates to avoid.
+   */
   startRetryTimer(): void {
     const {electionMinMs} = this.options.timing;
     this.electionDeadline = this.randomDeadline(
@@ -245,6 +261,6 @@
 
   private whenSynced(seq: number, run: () => void): void {
     if (seq <= this.syncedSeq) run();
-    else this.held.push({seq, run});
+    else this.deferred.push({seq, run});
   }
 }
--- a/src/control/log/createReplicatedLog.ts
+++ b/src/control/log/createReplicatedLog.ts
@@ -18,13 +18,13 @@
 const DEFAULT_BATCH_CHARS = 1 << 20;
 const DEFAULT_CHUNK_CHARS = 1 << 20;
 
-/** Loads what the disk holds, and takes part in the log from then on. */
+/** Loads the durable state and starts the log of this instance. */
 export async function createReplicatedLog(
   options: ReplicatedLogOptions
 ): Promise<ReplicatedLog> {
   const storage =
     options.storage ?? new DiskStorage(NODE_FILES, options.dataDir);
-  const durable = await openDurable(options, storage);
+  const durable = await loadDurableState(options, storage);
   return new LogDriver(
     {
       ...options,
@@ -38,14 +38,14 @@
         chunkChars: DEFAULT_CHUNK_CHARS,
         ...options.limits,
       } satisfies LogLimits,
-      startAfresh: () => setAsideAndStart(storage),
+      resetStorage: () => setAsideAndStartEmpty(storage),
     },
     storage,
     durable
   );
 }
 
-async function openDurable(
+async function loadDurableState(
   options: ReplicatedLogOptions,
   storage: LogStorage
 ): Promise<DurableState> {
@@ -63,9 +63,9 @@
 }
 
 /**
- * A damaged log may lack what was acknowledged, so it must not vote or be
- * counted. It starts as a wiped one and is filled by its peers; alone it has
- * none to be filled by and refuses to start.
+ * A damaged log may lack acknowledged entries, so its incarnation must neither
+ * vote nor count in a quorum. The instance starts as a wiped one and receives
+ * the log from its peers. An instance without peers refuses to start instead.
  */
 async function repairDamaged(
   options: ReplicatedLogOptions,
@@ -76,12 +76,14 @@
     throw new StorageError('load', options.dataDir, detail);
   options.logger.error(
     {step: 'load', dataDir: options.dataDir, detail},
-    'the log is damaged: it is set aside, and this instance joins as a new one'
+    'the log is damaged: setting it aside and rejoining as a new incarnation'
   );
-  return setAsideAndStart(storage);
+  return setAsideAndStartEmpty(storage);
 }
 
-async function setAsideAndStart(storage: LogStorage): Promise<DurableState> {
+async function setAsideAndStartEmpty(
+  storage: LogStorage
+): Promise<DurableState> {
   await storage.setAside();
   return startEmpty(storage, false);
 }
--- a/src/control/log/diskFiles.ts
+++ b/src/control/log/diskFiles.ts
@@ -1,31 +1,31 @@
-/** The few file operations that durable state needs, thin over `node:fs`. */
+/** File operations for durable state, as a thin layer over `node:fs`. */
 
 import {mkdir, open, readdir, readFile, rename, rm} from 'node:fs/promises';
 
-/** A file that only grows. */
+/** An append-only file. */
 export interface AppendFile {
   append(data: Buffer): Promise<void>;
-  /** Resolves once all that was appended is on the disk. */
+  /** Resolves once all appended data is on the disk. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** File operations; tests give them faults. */
+/** File operations, as an interface so that tests can inject faults. */
 export interface DiskFiles {
   makeDir(dir: string): Promise<void>;
-  /** Names in the folder, sorted. */
+  /** File names in a directory, sorted. */
   list(dir: string): Promise<readonly string[]>;
-  /** Undefined when there is no such file. */
+  /** Content of the file, or undefined if it does not exist. */
   read(file: string): Promise<Buffer | undefined>;
   openAppend(file: string): Promise<AppendFile>;
   truncate(file: string, bytes: number): Promise<void>;
   rename(from: string, to: string): Promise<void>;
   remove(path: string): Promise<void>;
-  /** Makes names created, renamed or removed in the folder durable. */
+  /** Makes creations, renames and removals in a directory durable. */
   syncDir(dir: string): Promise<void>;
 }
 
-/** The real disk. */
+/** The real file system. */
 export const NODE_FILES: DiskFiles = {
   makeDir: async dir => {
     await mkdir(dir, {recursive: true});
--- a/src/control/log/diskStorage.ts
+++ b/src/control/log/diskStorage.ts
@@ -1,8 +1,8 @@
 /**
- * Durable state in one folder: `state` (term, vote, incarnation), `snapshot`,
- * and log segments that only grow. Every write is synced before it counts;
- * a folder is synced after each change of its names, or a crash could bring
- * the old file back.
+ * Durable state in one directory: `state` (term, vote, incarnation), `snapshot`
+ * and append-only log segments. A write is acknowledged only after a sync. The
+ * directory is synced after each creation, rename or removal; otherwise a crash
+ * could bring the old file back.
  */
 
 import path from 'node:path';
@@ -18,32 +18,32 @@
 import {encodeFrame, scanFrames} from './frame';
 import type {LoadResult, LogStorage} from './logStorage';
 import type {SegmentRecord} from './segmentFold';
-import {SegmentFold} from './segmentFold';
+import {SegmentReplay} from './segmentFold';
 
 const STATE_FILE = 'state';
 const SNAPSHOT_FILE = 'snapshot';
-const TEMPORARY = '.tmp';
+const TEMPORARY_SUFFIX = '.tmp';
 const SEGMENT_PATTERN = /^log-(\d{8})$/;
 const DEFAULT_SEGMENT_BYTES = 4 << 20;
 
 interface Segment {
   readonly number: number;
-  /** Highest index in it. */
+  /** Highest entry index in the segment. */
   lastIndex: number;
   bytes: number;
 }
 
-class Damage extends Error {}
+class DamagedLog extends Error {}
 
-/** The log's storage on a disk. */
+/** Log storage on the local disk. */
 export class DiskStorage implements LogStorage {
   private readonly dir: string;
-  private readonly asideDir: string;
+  private readonly damagedDir: string;
   private segments: Segment[] = [];
-  private active: AppendFile | undefined;
-  private last: LogPosition = {index: 0, term: 0};
+  private activeFile: AppendFile | undefined;
+  private lastPosition: LogPosition = {index: 0, term: 0};
   private failed = false;
-  private bytes = 0;
+  private writtenBytes = 0;
 
   constructor(
     private readonly files: DiskFiles,
@@ -51,11 +51,11 @@
     private readonly segmentBytes = DEFAULT_SEGMENT_BYTES
   ) {
     this.dir = path.join(dataDir, 'log');
-    this.asideDir = path.join(dataDir, 'log-damaged');
+    this.damagedDir = path.join(dataDir, 'log-damaged');
   }
 
   get bytesSinceSnapshot(): number {
-    return this.bytes;
+    return this.writtenBytes;
   }
 
   async load(): Promise<LoadResult> {
@@ -64,9 +64,9 @@
       await this.files.syncDir(path.dirname(this.dataDir));
       await this.files.syncDir(this.dataDir);
       try {
-        return await this.readAll();
+        return await this.loadState();
       } catch (err) {
-        if (err instanceof Damage)
+        if (err instanceof DamagedLog)
           return {kind: 'damaged', detail: err.message};
         throw err;
       }
@@ -93,24 +93,28 @@
 
   async setAside(): Promise<void> {
     await this.guard('setAside', async () => {
-      await this.active?.close();
-      this.active = undefined;
+      await this.activeFile?.close();
+      this.activeFile = undefined;
       this.segments = [];
-      this.last = {index: 0, term: 0};
-      this.bytes = 0;
-      await this.files.remove(this.asideDir);
-      await this.files.rename(this.dir, this.asideDir);
+      this.lastPosition = {index: 0, term: 0};
+      this.writtenBytes = 0;
+      await this.files.remove(this.damagedDir);
+      await this.files.rename(this.dir, this.damagedDir);
       await this.files.makeDir(this.dir);
       await this.files.syncDir(this.dataDir);
     });
   }
 
   async close(): Promise<void> {
-    await this.active?.close();
-    this.active = undefined;
+    await this.activeFile?.close();
+    this.activeFile = undefined;
   }
 
-  /** After one failure nothing is known about the disk: never try again. */
+  /**
+   * Runs an operation and turns its failure into a StorageError. After a
+   * failure the state of the disk is unknown, so all later operations fail at
+   * once.
+   */
   private async guard<T>(step: string, run: () => Promise<T>): Promise<T> {
     if (this.failed)
       throw new StorageError(step, this.dir, 'an earlier operation failed');
@@ -122,93 +126,106 @@
     }
   }
 
-  private async readAll(): Promise<LoadResult> {
+  private async loadState(): Promise<LoadResult> {
     const names = await this.files.list(this.dir);
-    for (const name of names.filter(name => name.endsWith(TEMPORARY)))
+    for (const name of names.filter(name => name.endsWith(TEMPORARY_SUFFIX)))
       await this.files.remove(path.join(this.dir, name));
-    const fold = await this.readSegments(segmentNumbers(names));
-    const snapshot = (await this.readSingle(SNAPSHOT_FILE)) as
+    const replay = await this.readSegments(segmentNumbers(names));
+    const snapshot = (await this.readRecordFile(SNAPSHOT_FILE)) as
       LogSnapshot | undefined;
-    const hard = (await this.readSingle(STATE_FILE)) as HardState | undefined;
+    const hard = (await this.readRecordFile(STATE_FILE)) as
+      HardState | undefined;
     if (hard === undefined) {
-      if (snapshot === undefined && fold.last.index === 0)
+      if (snapshot === undefined && replay.lastPosition.index === 0)
         return {kind: 'empty'};
-      throw new Damage(`${STATE_FILE} is missing beside a log`);
+      throw new DamagedLog(
+        `the file "${STATE_FILE}" is missing although log files exist`
+      );
     }
-    const log = fold.finish(snapshot);
-    if (log === undefined) throw new Damage(`entries are missing`);
+    const log = replay.finish(snapshot);
+    if (log === undefined)
+      throw new DamagedLog(
+        `entries are missing between or before the log segments`
+      );
     const {index, term} = log.entries.at(-1) ?? log.base;
-    this.last = {index, term};
+    this.lastPosition = {index, term};
     return {kind: 'state', state: {hard, snapshot, ...log}};
   }
 
-  private async readSegments(numbers: readonly number[]): Promise<SegmentFold> {
-    const fold = new SegmentFold();
-    for (const [at, number] of numbers.entries()) {
-      const isLast = at === numbers.length - 1;
-      await this.readSegment(number, isLast, fold);
+  private async readSegments(
+    numbers: readonly number[]
+  ): Promise<SegmentReplay> {
+    const replay = new SegmentReplay();
+    for (const [position, number] of numbers.entries()) {
+      const isLast = position === numbers.length - 1;
+      await this.readSegment(number, isLast, replay);
     }
-    return fold;
+    return replay;
   }
 
   private async readSegment(
     number: number,
     isLast: boolean,
-    fold: SegmentFold
+    replay: SegmentReplay
   ): Promise<void> {
     const file = this.segmentPath(number);
     const content = (await this.files.read(file)) ?? Buffer.alloc(0);
     const {payloads, end} = scanFrames(content);
     if (end.kind === 'damaged' || (end.kind === 'torn' && !isLast))
-      throw new Damage(`${file} is ${end.kind} at byte ${end.atByte}`);
-    // A record that was cut off was never synced, so never acknowledged.
+      throw new DamagedLog(`${file} is ${end.kind} at byte ${end.atByte}`);
+    // A truncated last record was never synced, so it was never acknowledged.
     if (end.kind === 'torn') await this.files.truncate(file, end.atByte);
-    for (const payload of payloads) fold.add(payload as SegmentRecord);
+    for (const payload of payloads) replay.add(payload as SegmentRecord);
     const bytes = content.length;
-    this.segments.push({number, lastIndex: fold.last.index, bytes});
-    this.bytes += bytes;
+    this.segments.push({number, lastIndex: replay.lastPosition.index, bytes});
+    this.writtenBytes += bytes;
   }
 
-  private async readSingle(name: string): Promise<unknown> {
+  private async readRecordFile(name: string): Promise<unknown> {
     const file = path.join(this.dir, name);
     const content = await this.files.read(file);
     if (content === undefined) return undefined;
     const {payloads, end} = scanFrames(content);
     if (end.kind !== 'whole' || payloads.length !== 1)
-      throw new Damage(`${file} is damaged`);
+      throw new DamagedLog(`${file} is damaged`);
     return payloads[0];
   }
 
-  /** One record for the whole group, so at most one record is ever unsynced. */
+  /**
+   * Writes all entries as one record, so that at most one record is unsynced.
+   */
   private async writeEntries(entries: readonly LogEntry[]): Promise<void> {
     const last = entries.at(-1);
     if (last === undefined) return;
     const segment = this.segments.at(-1);
-    if (this.active === undefined || (segment?.bytes ?? 0) > this.segmentBytes)
+    if (
+      this.activeFile === undefined ||
+      (segment?.bytes ?? 0) > this.segmentBytes
+    )
       await this.startSegment();
     await this.appendRecord({kind: 'entries', entries});
-    this.last = {index: last.index, term: last.term};
-    const active = this.segments.at(-1);
-    if (active === undefined) return;
+    this.lastPosition = {index: last.index, term: last.term};
+    const activeSegment = this.segments.at(-1);
+    if (activeSegment === undefined) return;
     for (const {index} of entries)
-      active.lastIndex = Math.max(active.lastIndex, index);
+      activeSegment.lastIndex = Math.max(activeSegment.lastIndex, index);
   }
 
   private async appendRecord(record: SegmentRecord): Promise<void> {
     const frame = encodeFrame(record);
-    await this.active?.append(frame);
-    await this.active?.sync();
+    await this.activeFile?.append(frame);
+    await this.activeFile?.sync();
     const segment = this.segments.at(-1);
     if (segment !== undefined) segment.bytes += frame.length;
-    this.bytes += frame.length;
+    this.writtenBytes += frame.length;
   }
 
   private async startSegment(): Promise<void> {
-    await this.active?.close();
+    await this.activeFile?.close();
     const number = (this.segments.at(-1)?.number ?? 0) + 1;
-    this.active = await this.files.openAppend(this.segmentPath(number));
+    this.activeFile = await this.files.openAppend(this.segmentPath(number));
     this.segments.push({number, lastIndex: 0, bytes: 0});
-    await this.appendRecord({kind: 'segment', prev: this.last});
+    await this.appendRecord({kind: 'segment', prev: this.lastPosition});
     await this.files.syncDir(this.dir);
   }
 
@@ -216,9 +233,9 @@
     write: Extract<LogWrite, {kind: 'snapshot'}>
   ): Promise<void> {
     await this.replaceFile(SNAPSHOT_FILE, write.snapshot);
-    if (write.resetLog) this.last = write.keepAfter;
+    if (write.resetLog) this.lastPosition = write.keepAfter;
     await this.startSegment();
-    this.bytes = 0;
+    this.writtenBytes = 0;
     const upTo = write.resetLog ? Infinity : write.keepAfter.index;
     while (this.segments.length > 1) {
       const oldest = this.segments[0];
@@ -229,18 +246,21 @@
     await this.files.syncDir(this.dir);
   }
 
-  /** Replaces a file whole: either the old or the new one is ever seen. */
+  /**
+   * Replaces a file atomically. After a crash either the old or the new content
+   * is there, never a mixture.
+   */
   private async replaceFile(name: string, payload: unknown): Promise<void> {
     const file = path.join(this.dir, name);
-    await this.files.remove(file + TEMPORARY);
-    const temporary = await this.files.openAppend(file + TEMPORARY);
+    await this.files.remove(file + TEMPORARY_SUFFIX);
+    const temporary = await this.files.openAppend(file + TEMPORARY_SUFFIX);
     try {
       await temporary.append(encodeFrame(payload));
       await temporary.sync();
     } finally {
       await temporary.close();
     }
-    await this.files.rename(file + TEMPORARY, file);
+    await this.files.rename(file + TEMPORARY_SUFFIX, file);
     await this.files.syncDir(this.dir);
   }
 
--- a/src/control/log/election.ts
+++ b/src/control/log/election.ts
@@ -1,18 +1,20 @@
-/** Terms, votes and who leads. */
+/** Elections: terms, pre-votes, votes and step-down. */
 
 import type {CoreState} from './coreState';
 import type {ReplyOf, RequestOf} from './messages';
-import {startLeading} from './replication';
+import {becomeLeader} from './replication';
 
 type VoteRequest = RequestOf<'preVote'> | RequestOf<'vote'>;
 
-/** Becomes a follower; the term never goes back. */
-export function follow(
+/**
+ * Becomes a follower, in a new term if `term` is higher than the current one.
+ */
+export function becomeFollower(
   state: CoreState,
   term: number,
   leaderId: string | undefined
 ): void {
-  if (term > state.term) state.setHard({term, votedFor: undefined});
+  if (term > state.term) state.setHardState({term, votedFor: undefined});
   state.candidacy = undefined;
   stopLeading(state);
   state.leaderId = leaderId;
@@ -29,9 +31,9 @@
 }
 
 /**
- * Asks for votes without raising the term. An instance that was cut off, or
- * hears in one direction only, would else come back with ever higher terms
- * and unseat working leaders again and again.
+ * Starts a pre-vote, which requests votes without raising the term. Without it,
+ * an instance that was partitioned, or whose link works in one direction only,
+ * would return with ever higher terms and depose working leaders repeatedly.
  */
 export function startPreVote(state: CoreState): void {
   state.candidacy = {phase: 'preVote', granted: new Set()};
@@ -46,9 +48,10 @@
   const candidacy = {phase: 'vote' as const, granted: new Set<string>()};
   state.candidacy = candidacy;
   state.startRetryTimer();
-  state.setHard({term: state.term + 1, votedFor: state.incarnation});
-  // Our own vote counts, and others are asked, only once it is durable: after
-  // a crash this instance could else vote for another in the same term.
+  state.setHardState({term: state.term + 1, votedFor: state.incarnation});
+  // The vote for itself must be durable before it is counted and before other
+  // votes are requested. Otherwise this instance could crash and then vote for
+  // another candidate in the same term.
   state.whenAllSynced(() => {
     if (state.candidacy !== candidacy) return;
     candidacy.granted.add(state.incarnation);
@@ -69,7 +72,7 @@
       to: voter.id,
       message: {
         kind,
-        ...address(state, voter.incarnation),
+        ...requestHeader(state, voter.incarnation),
         term,
         lastIndex: state.log.lastIndex,
         lastTerm: state.log.lastTerm,
@@ -89,25 +92,28 @@
   }
   state.candidacy = undefined;
   state.leaderId = state.options.id;
-  startLeading(state);
+  becomeLeader(state);
 }
 
 /**
- * Ends an orderly leadership and tells the others, so that callers need not
- * wait out an election timeout at each restart of a leader.
+ * Steps down before a shutdown and notifies the peers, so that a restart of the
+ * leader does not cost callers a whole election timeout.
  */
 export function resign(state: CoreState): void {
   const {leadership} = state;
   if (leadership === undefined) return;
-  follow(state, state.term, undefined);
+  becomeFollower(state, state.term, undefined);
   for (const [id, {incarnation}] of leadership.progress) {
     if (incarnation === undefined) continue;
-    const message = {kind: 'resign' as const, ...address(state, incarnation)};
+    const message = {
+      kind: 'resign' as const,
+      ...requestHeader(state, incarnation),
+    };
     state.emit({kind: 'send', to: id, message});
   }
 }
 
-/** Stands soon when the leader of the present term goes. */
+/** Schedules an early election when the leader of the current term resigns. */
 export function onResign(
   state: CoreState,
   ticket: number,
@@ -121,8 +127,8 @@
   state.reply(ticket, {kind: 'resign', incarnation: state.incarnation});
 }
 
-/** Sender, addressee, group and term, as every request but hello has them. */
-export function address(state: CoreState, toIncarnation: string) {
+/** The fields common to all requests except hello. */
+export function requestHeader(state: CoreState, toIncarnation: string) {
   return {
     from: state.options.id,
     fromIncarnation: state.incarnation,
@@ -132,7 +138,7 @@
   };
 }
 
-/** Answers a candidate. */
+/** Handles a pre-vote or vote request of a candidate. */
 export function onVoteRequest(
   state: CoreState,
   ticket: number,
@@ -154,11 +160,12 @@
 }
 
 function grantPreVote(state: CoreState, message: VoteRequest): boolean {
-  if (hearsLeader(state) || message.term <= state.term) return false;
-  if (!isUpToDate(state, message)) return false;
-  // Two that stand at once split the votes. This one holds back for a moment,
-  // shorter than any candidate's retry, so one that hears nobody cannot keep
-  // it back for ever.
+  if (hasLeaderContact(state) || message.term <= state.term) return false;
+  if (!isLogUpToDate(state, message)) return false;
+  // Two concurrent candidates would split the votes, so this instance delays
+  // its own election by one heartbeat. That is shorter than a candidate's
+  // shortest retry timeout, so a candidate that receives no replies cannot
+  // delay it forever.
   const {heartbeatMs} = state.options.timing;
   state.electionDeadline = Math.max(
     state.electionDeadline,
@@ -168,20 +175,20 @@
 }
 
 function grantVote(state: CoreState, message: VoteRequest): boolean {
-  if (hearsLeader(state) || message.term < state.term) return false;
-  if (message.term > state.term) follow(state, message.term, undefined);
+  if (hasLeaderContact(state) || message.term < state.term) return false;
+  if (message.term > state.term) becomeFollower(state, message.term, undefined);
   const {votedFor} = state.hard;
   if (votedFor !== undefined && votedFor !== message.fromIncarnation)
     return false;
-  if (!isUpToDate(state, message)) return false;
+  if (!isLogUpToDate(state, message)) return false;
   if (votedFor === undefined)
-    state.setHard({votedFor: message.fromIncarnation});
+    state.setHardState({votedFor: message.fromIncarnation});
   state.resetElectionTimer();
   return true;
 }
 
-/** Whether a leader was heard so lately that no vote is due. */
-function hearsLeader(state: CoreState): boolean {
+/** Whether a leader was active recently, so that votes are denied. */
+function hasLeaderContact(state: CoreState): boolean {
   if (state.leadership !== undefined) return true;
   return (
     state.leaderId !== undefined &&
@@ -189,22 +196,23 @@
   );
 }
 
-function isUpToDate(state: CoreState, message: VoteRequest): boolean {
+function isLogUpToDate(state: CoreState, message: VoteRequest): boolean {
   const {lastTerm, lastIndex} = state.log;
   if (message.lastTerm !== lastTerm) return message.lastTerm > lastTerm;
   return message.lastIndex >= lastIndex;
 }
 
-/** Takes in an answer of a voter; counted by incarnation. */
+/** Handles the reply of a voter. Votes are counted by incarnation. */
 export function onVoteReply(state: CoreState, message: ReplyOf<'vote'>): void {
   if (message.term > state.term) {
-    follow(state, message.term, undefined);
+    becomeFollower(state, message.term, undefined);
     return;
   }
   const {candidacy} = state;
   if (candidacy === undefined || !message.granted) return;
-  const asked = candidacy.phase === 'preVote' ? state.term + 1 : state.term;
-  if (message.askedTerm !== asked) return;
+  const expectedTerm =
+    candidacy.phase === 'preVote' ? state.term + 1 : state.term;
+  if (message.askedTerm !== expectedTerm) return;
   if (message.asker !== state.incarnation) return;
   if (message.preVote !== (candidacy.phase === 'preVote')) return;
   candidacy.granted.add(message.incarnation);
--- a/src/control/log/entry.ts
+++ b/src/control/log/entry.ts
@@ -1,24 +1,27 @@
-/** What the replicated log stores: entries, configurations, terms, snapshots. */
+/** Stored data types: entries, configurations, hard state and snapshots. */
 
 import type {Command} from '../state/command';
 
 /**
- * One voting member. The id is the static one of the settings; the incarnation
- * is random and stands on the disk, so a wiped disk comes back as another
- * member. Quorums count incarnations: what the lost disk had promised must
- * never be counted for the empty one that took its place.
+ * A voting member. The id comes from the settings. The incarnation is a random
+ * id stored on the disk, so an instance with a wiped disk is a different
+ * member. Quorums count incarnations: votes and acknowledgements given by the
+ * lost disk must never count for the empty disk that replaced it.
  */
 export interface Voter {
   readonly id: string;
   readonly incarnation: string;
 }
 
-/** The voting members, in force from the moment they stand in the log. */
+/**
+ * The voting members. A configuration applies as soon as it is appended to the
+ * log, before it is committed.
+ */
 export interface Configuration {
   readonly voters: readonly Voter[];
 }
 
-/** What an entry holds. */
+/** Content of an entry. */
 export type EntryBody =
   | {readonly kind: 'command'; readonly command: Command}
   | {
@@ -26,57 +29,61 @@
       readonly configuration: Configuration;
     };
 
-/** One position of the log; indexes start at 1. */
+/** One entry of the log. Indexes start at 1. */
 export interface LogEntry {
   readonly index: number;
   readonly term: number;
   readonly body: EntryBody;
 }
 
-/** What an instance must remember apart from the log. */
+/** Raft's hard state: what an instance persists besides log and snapshot. */
 export interface HardState {
   readonly incarnation: string;
   readonly term: number;
-  /** Incarnation that got the vote of this term. */
+  /** Incarnation that received this instance's vote in this term. */
   readonly votedFor?: string;
-  /** Incarnation that founded the group to which the entries belong. */
+  /** Identifies the group of the entries: the incarnation of its founder. */
   readonly group?: string;
-  /** False when a damaged log was set aside: then data existed before. */
+  /**
+   * Whether this incarnation may found a group. False after a damaged log was
+   * set aside, since data existed before.
+   */
   readonly mayFound: boolean;
 }
 
-/** The applied state up to and including `index`. */
+/** State of the state machine after applying all entries up to `index`. */
 export interface LogSnapshot {
   readonly index: number;
   readonly term: number;
   readonly configuration: Configuration;
-  /** The state machine's own string. */
+  /** The state machine's serialized state; opaque to the log. */
   readonly data: string;
 }
 
-/** Everything found on a disk. */
+/** All durable state of an instance. */
 export interface DurableState {
   readonly hard: HardState;
   readonly snapshot?: LogSnapshot;
-  /** Position before the first entry. */
+  /** Position directly before the first entry. */
   readonly base: LogPosition;
   readonly entries: readonly LogEntry[];
 }
 
-/** An index with the term of its entry; 0 and 0 before the first entry. */
+/** Index and term of an entry; both are 0 before the first entry. */
 export interface LogPosition {
   readonly index: number;
   readonly term: number;
 }
 
-/** One durable change; a batch takes effect in order. */
+/** One durable change. The changes of a batch take effect in order. */
 export type LogWrite =
   | {readonly kind: 'hardState'; readonly hard: HardState}
-  /** Replaces everything from the first entry's index on. */
+  /** Appends entries, replacing all from the first one's index on. */
   | {readonly kind: 'append'; readonly entries: readonly LogEntry[]}
   /**
-   * Entries up to `keepAfter` may go. With `resetLog` no entry is kept: they
-   * belong to a history that the snapshot replaces.
+   * Stores a snapshot. Entries up to `keepAfter` may be removed. With
+   * `resetLog` all entries are removed, since the snapshot replaces their
+   * history.
    */
   | {
       readonly kind: 'snapshot';
@@ -85,7 +92,7 @@
       readonly resetLog: boolean;
     };
 
-/** Number of members that make a quorum of `count`. */
+/** Size of a majority quorum of `count` voters. */
 export function quorumOf(count: number): number {
   return Math.floor(count / 2) + 1;
 }
--- a/src/control/log/entryLog.ts
+++ b/src/control/log/entryLog.ts
@@ -1,4 +1,4 @@
-/** The entries in memory, and the configuration that they put in force. */
+/** The in-memory log: entries, latest snapshot and configurations. */
 
 import type {
   Configuration,
@@ -10,30 +10,30 @@
 
 const NO_CONFIGURATION: Configuration = {voters: []};
 
-interface PlacedConfiguration {
+interface IndexedConfiguration {
   readonly index: number;
   readonly configuration: Configuration;
 }
 
-/** Entries after a base position; indexes are those of the whole log. */
+/** The entries after a base position. Indexes are absolute log indexes. */
 export class EntryLog {
   private entries: LogEntry[];
   private base: LogPosition;
-  private held: LogSnapshot | undefined;
-  private configurations: readonly PlacedConfiguration[];
+  private latestSnapshot: LogSnapshot | undefined;
+  private configurations: readonly IndexedConfiguration[];
 
   constructor(state: Omit<DurableState, 'hard'>) {
     this.entries = [...state.entries];
     this.base = state.base;
-    this.held = state.snapshot;
-    this.configurations = placed(state.entries);
+    this.latestSnapshot = state.snapshot;
+    this.configurations = configurationsIn(state.entries);
   }
 
   get snapshot(): LogSnapshot | undefined {
-    return this.held;
+    return this.latestSnapshot;
   }
 
-  /** Index before the first entry held. */
+  /** Index directly before the first retained entry. */
   get baseIndex(): number {
     return this.base.index;
   }
@@ -46,24 +46,24 @@
     return this.entries.at(-1)?.term ?? this.base.term;
   }
 
-  /** Term at an index, or undefined where nothing is known any more. */
+  /** Term at an index, or undefined if the entry is compacted or absent. */
   termAt(index: number): number | undefined {
     if (index === this.base.index) return this.base.term;
     return this.entryAt(index)?.term;
   }
 
-  /** Entries from `from` on, at most `limit`. */
+  /** At most `limit` entries, starting at index `from`. */
   slice(from: number, limit: number): readonly LogEntry[] {
     const start = from - this.base.index - 1;
     return this.entries.slice(start, start + limit);
   }
 
-  /** Entries after `after` up to `upTo`. */
+  /** Entries with `after` < index <= `upTo`. */
   between(after: number, upTo: number): readonly LogEntry[] {
     return this.slice(after + 1, upTo - after);
   }
 
-  /** Puts the entries in place of everything from the first one's index on. */
+  /** Appends entries, replacing all from the first one's index on. */
   append(entries: readonly LogEntry[]): void {
     const first = entries[0];
     if (first === undefined) return;
@@ -71,12 +71,12 @@
     this.entries.push(...entries);
     this.configurations = [
       ...this.configurations.filter(({index}) => index < first.index),
-      ...placed(entries),
+      ...configurationsIn(entries),
     ];
   }
 
-  /** First index that has the same term as the entry at `index`. */
-  firstOfTerm(index: number): number {
+  /** Lowest retained index with the same term as the entry at `index`. */
+  firstIndexOfTerm(index: number): number {
     const term = this.termAt(index);
     let first = index;
     while (first > this.base.index + 1 && this.termAt(first - 1) === term)
@@ -84,27 +84,27 @@
     return first;
   }
 
-  /** The last configuration in the log, committed or not, and its index. */
-  configuration(upTo = this.lastIndex): PlacedConfiguration {
+  /** The latest configuration up to `upTo`, committed or not, and its index. */
+  configuration(upTo = this.lastIndex): IndexedConfiguration {
     const found = this.configurations.findLast(({index}) => index <= upTo);
     return (
       found ?? {
-        index: this.held?.index ?? 0,
-        configuration: this.held?.configuration ?? NO_CONFIGURATION,
+        index: this.latestSnapshot?.index ?? 0,
+        configuration: this.latestSnapshot?.configuration ?? NO_CONFIGURATION,
       }
     );
   }
 
-  /** Takes a snapshot of our own state in, and drops entries up to `base`. */
+  /** Stores a snapshot of the local state and drops entries up to `base`. */
   compact(snapshot: LogSnapshot, base: LogPosition): void {
-    this.held = snapshot;
+    this.latestSnapshot = snapshot;
     this.entries.splice(0, base.index - this.base.index);
     this.base = base;
   }
 
-  /** Replaces the whole history by a snapshot. */
+  /** Replaces the whole log by a snapshot from the leader. */
   reset(snapshot: LogSnapshot): void {
-    this.held = snapshot;
+    this.latestSnapshot = snapshot;
     this.entries = [];
     this.configurations = [];
     this.base = {index: snapshot.index, term: snapshot.term};
@@ -117,7 +117,9 @@
   }
 }
 
-function placed(entries: readonly LogEntry[]): readonly PlacedConfiguration[] {
+function configurationsIn(
+  entries: readonly LogEntry[]
+): readonly IndexedConfiguration[] {
   return entries.flatMap(({index, body}) =>
     body.kind === 'configuration'
       ? [{index, configuration: body.configuration}]
--- a/src/control/log/entrySize.ts
+++ b/src/control/log/entrySize.ts
@@ -1,10 +1,10 @@
-/** Size of entries, so that one message never grows past what peers take. */
+/** Size of entries, used to keep messages below the size that peers accept. */
 
 import type {LogEntry} from './entry';
 
 const sizes = new WeakMap<LogEntry, number>();
 
-/** Characters of the entry as JSON; worked out once for each. */
+/** Length of the entry's JSON in characters, cached per entry. */
 export function entryChars(entry: LogEntry): number {
   const known = sizes.get(entry);
   if (known !== undefined) return known;
--- a/src/control/log/followerLog.ts
+++ b/src/control/log/followerLog.ts
@@ -1,15 +1,15 @@
-/** The follower's side: takes entries and snapshots from the leader. */
+/** The follower's side of replication: handles appends of the leader. */
 
 import type {CoreState} from './coreState';
 import type {LogEntry} from './entry';
 import type {ReplyOf, RequestOf} from './messages';
 import {advanceCommit} from './commit';
-import {follow} from './election';
+import {becomeFollower} from './election';
 
-/** What only a leader sends. */
+/** Requests that only a leader sends. */
 export type LeaderRequest = RequestOf<'append'> | RequestOf<'snapshot'>;
 
-/** Handles entries or a heartbeat. */
+/** Handles an append, which may be an empty heartbeat. */
 export function onAppend(
   state: CoreState,
   ticket: number,
@@ -23,17 +23,20 @@
   }
   const entries = message.entries as readonly LogEntry[];
   if (entries.length > 0) joinGroup(state, message.group);
-  state.append(firstMissing(state, entries));
+  state.append(missingEntries(state, entries));
   const matchIndex = message.prevIndex + entries.length;
   advanceCommit(state, Math.min(message.commitIndex, matchIndex));
-  state.replyStored(
+  state.replyWhenStored(
     ticket,
     matchIndex,
     progressReply(state, message, {ok: true, matchIndex})
   );
 }
 
-/** Answers an old leader, follows a present one. */
+/**
+ * Follows the sender and returns true, unless its term is outdated. Then it
+ * rejects the request of the deposed leader and returns false.
+ */
 export function acceptLeader(
   state: CoreState,
   ticket: number,
@@ -47,17 +50,17 @@
     throw new Error(
       `two leaders in term ${message.term}: ${state.options.id} and ${message.from}`
     );
-  follow(state, message.term, message.from);
+  becomeFollower(state, message.term, message.from);
   state.lastLeaderContact = state.now;
   return true;
 }
 
-/** Written before the first entry, so entries never stand without it. */
+/** Persists the group before its first entry, so no entry exists without it. */
 export function joinGroup(state: CoreState, group: string): void {
-  if (state.hard.group !== group) state.setHard({group});
+  if (state.hard.group !== group) state.setHardState({group});
 }
 
-/** Tells the leader how far this instance is. */
+/** Builds the reply that reports this instance's progress to the leader. */
 export function progressReply(
   state: CoreState,
   message: LeaderRequest,
@@ -86,33 +89,38 @@
   };
 }
 
-/** Where the leader should try next when the entry before does not match. */
+/**
+ * Index from which the leader should retry if its previous entry does not match
+ * this log, or undefined if it matches.
+ */
 function mismatchHint(
   state: CoreState,
   message: RequestOf<'append'>
 ): number | undefined {
   const {prevIndex, prevTerm} = message;
-  // What was compacted is committed, so it equals the leader's.
+  // Compacted entries are committed, so they equal the leader's.
   if (prevIndex <= state.log.baseIndex) return undefined;
   const term = state.log.termAt(prevIndex);
   if (term === undefined) return state.log.lastIndex + 1;
   if (term === prevTerm) return undefined;
-  return Math.max(state.commitIndex + 1, state.log.firstOfTerm(prevIndex));
+  return Math.max(state.commitIndex + 1, state.log.firstIndexOfTerm(prevIndex));
 }
 
-/** The entries from the first one on that is not held already. */
-function firstMissing(
+/** The entries from the first one that this log lacks or that conflicts. */
+function missingEntries(
   state: CoreState,
   entries: readonly LogEntry[]
 ): readonly LogEntry[] {
-  const at = entries.findIndex(
+  const start = entries.findIndex(
     entry =>
       entry.index > state.log.baseIndex &&
       state.log.termAt(entry.index) !== entry.term
   );
-  const first = entries[at];
+  const first = entries[start];
   if (first === undefined) return [];
   if (first.index <= state.commitIndex)
-    throw new Error(`committed entry ${first.index} would be replaced`);
-  return entries.slice(at);
+    throw new Error(
+      `an append would replace the committed entry ${first.index}`
+    );
+  return entries.slice(start);
 }
--- a/src/control/log/followerSnapshot.ts
+++ b/src/control/log/followerSnapshot.ts
@@ -1,4 +1,7 @@
-/** Takes the leader's state when this log ends before the leader's begins. */
+/**
+ * The follower's side of a snapshot transfer, which is used when the leader has
+ * compacted entries that this log lacks.
+ */
 
 import type {CoreState} from './coreState';
 import type {LogSnapshot} from './entry';
@@ -6,7 +9,7 @@
 import {advanceCommit} from './commit';
 import {acceptLeader, joinGroup, progressReply} from './followerLog';
 
-/** Handles one chunk; the last one puts the snapshot in place. */
+/** Handles one chunk. The last chunk installs the snapshot. */
 export function onSnapshot(
   state: CoreState,
   ticket: number,
@@ -15,9 +18,9 @@
   if (!acceptLeader(state, ticket, message)) return;
   const {index} = message.snapshot;
   if (index > state.commitIndex) {
-    const data = takeChunk(state, message);
+    const data = appendChunk(state, message);
     if (data === undefined) {
-      answerPart(state, ticket, message);
+      replyPartial(state, ticket, message);
       return;
     }
     joinGroup(state, message.group);
@@ -25,24 +28,27 @@
   }
   state.incoming = undefined;
   const outcome = {ok: true as const, matchIndex: index};
-  state.replyStored(ticket, index, progressReply(state, message, outcome));
+  state.replyWhenStored(ticket, index, progressReply(state, message, outcome));
 }
 
-/** The whole data once the last chunk fits, or undefined before. */
-function takeChunk(
+/**
+ * Adds a chunk at the expected offset and ignores any other. Returns the whole
+ * data after the last chunk, and undefined before.
+ */
+function appendChunk(
   state: CoreState,
   message: RequestOf<'snapshot'>
 ): string | undefined {
   const {index, term} = message.snapshot;
   const key = `${message.fromIncarnation} ${message.term} ${index} ${term}`;
-  const held = state.incoming?.key === key ? state.incoming.data : '';
-  const fits = message.offset === held.length;
-  const data = fits ? held + message.chunk : held;
+  const received = state.incoming?.key === key ? state.incoming.data : '';
+  const fits = message.offset === received.length;
+  const data = fits ? received + message.chunk : received;
   state.incoming = {key, data};
   return fits && message.done ? data : undefined;
 }
 
-function answerPart(
+function replyPartial(
   state: CoreState,
   ticket: number,
   message: RequestOf<'snapshot'>
@@ -67,5 +73,5 @@
     keepAfter: {index, term},
     resetLog: true,
   });
-  state.markReset(seq);
+  state.trackLogReset(seq);
 }
--- a/src/control/log/founding.ts
+++ b/src/control/log/founding.ts
@@ -1,16 +1,17 @@
 /**
- * The first boot. Only the instance with the lowest id founds a group, and
- * only after every configured peer has answered twice that its log is empty:
- * a wiped instance among whole ones must never found a second group beside
- * theirs.
+ * Founding (bootstrapping) a group on the first start. Only the instance with
+ * the lowest id founds a group, and only after every configured peer has
+ * replied twice that its log is empty. A wiped instance whose peers still hold
+ * a log must never found a second group.
  *
- * A group is named after the founder's incarnation, and whoever holds entries
- * of one group takes none of another. Should the founder be wiped while it
- * founds and found again, a message of its old life could still reach a peer.
- * The first round of answers fixes who lives; the second, sent after it, shows
- * that these held nothing once all others were lost. Whatever commits in the
- * old group then needs a quorum of the very incarnations that the new group
- * also needs, so only one of the two ever commits anything.
+ * The group id is the founder's incarnation. An instance that holds entries of
+ * one group rejects those of any other. If the founder is wiped while it founds
+ * and then founds again, a message of its previous incarnation may still reach
+ * a peer. The first round of replies determines the current incarnations. The
+ * second round, sent afterwards, shows that they were still empty when all
+ * earlier incarnations were gone. From then on the old group needs a quorum of
+ * the same incarnations as the new group, so only one of the two groups can
+ * ever commit an entry.
  */
 
 import type {CoreState} from './coreState';
@@ -18,33 +19,39 @@
 import {startPreVote} from './election';
 import {sendHello} from './replication';
 
-const ROUND_IDS = 2 ** 31;
-/** Both rounds must fit in; peers that start up later are asked again. */
-const RETRY_MS = 500;
+const ROUND_ID_RANGE = 2 ** 31;
+/**
+ * Interval between two attempts. Both rounds of an attempt must complete within
+ * it; peers that start later are asked again in the next attempt.
+ */
+const FOUNDING_RETRY_MS = 500;
 
-/** Rounds of questions, for the instance that may found. */
-export class Founding {
-  /** Echoed in the answers; random, so that no older answer matches. */
+/** Runs the rounds of hello requests on an instance that may found a group. */
+export class GroupFounding {
+  /**
+   * Echoed in the replies. Random, so that no reply of an older round matches.
+   */
   private round = -1;
-  private askAt = -Infinity;
+  private nextAttemptAt = -Infinity;
+  /** Empty peers that replied in this round: incarnation by id. */
   private answers = new Map<string, string>();
-  /** Incarnations that were empty in the round before. */
+  /** The same for the previous round of this attempt. */
   private previous: ReadonlyMap<string, string> | undefined;
 
   constructor(private readonly state: CoreState) {}
 
-  /** Regular work of an empty instance. */
+  /** Starts the next attempt when it is due; called while the log is empty. */
   tick(): void {
     const {now} = this.state;
-    if (now < this.askAt || !this.mayFound()) return;
-    this.askAt = now + RETRY_MS;
+    if (now < this.nextAttemptAt || !this.mayFound()) return;
+    this.nextAttemptAt = now + FOUNDING_RETRY_MS;
     this.previous = undefined;
     this.startRound();
     this.finishRound();
   }
 
-  /** Takes in a peer's answer. */
-  onHello(from: string, message: ReplyOf<'hello'>): void {
+  /** Handles a peer's hello reply. */
+  onHelloReply(from: string, message: ReplyOf<'hello'>): void {
     if (message.round !== this.round || !this.mayFound()) return;
     if (!message.empty) return;
     this.answers.set(from, message.incarnation);
@@ -58,7 +65,7 @@
     return this.peerIds().every(peerId => options.id < peerId);
   }
 
-  /** The others that found; those told by settings, not those found since. */
+  /** The other founders: those configured, or all known peers if none are. */
   private peerIds(): readonly string[] {
     const {founders, peerIds, id} = this.state.options;
     if (founders === undefined) return peerIds();
@@ -67,7 +74,7 @@
 
   private startRound(): void {
     const {options} = this.state;
-    this.round = Math.floor(options.random() * ROUND_IDS);
+    this.round = Math.floor(options.random() * ROUND_ID_RANGE);
     this.answers = new Map();
     for (const id of this.peerIds()) sendHello(this.state, id, this.round);
   }
@@ -76,23 +83,24 @@
     const peerIds = this.peerIds();
     if (!peerIds.every(peerId => this.answers.has(peerId))) return;
     const {answers, previous} = this;
-    const same = (id: string): boolean => previous?.get(id) === answers.get(id);
-    if (previous !== undefined && peerIds.every(same)) {
-      this.found(answers);
+    const hasSameIncarnation = (id: string): boolean =>
+      previous?.get(id) === answers.get(id);
+    if (previous !== undefined && peerIds.every(hasSameIncarnation)) {
+      this.foundGroup(answers);
       return;
     }
     this.previous = answers;
     this.startRound();
-    if (peerIds.length === 0) this.found(answers);
+    if (peerIds.length === 0) this.foundGroup(answers);
   }
 
-  private found(peers: ReadonlyMap<string, string>): void {
+  private foundGroup(peers: ReadonlyMap<string, string>): void {
     const {state} = this;
     this.round = -1;
     const voters = [{id: state.options.id, incarnation: state.incarnation}];
     for (const [id, incarnation] of peers) voters.push({id, incarnation});
     const term = Math.max(1, state.term);
-    state.setHard({term, group: state.incarnation});
+    state.setHardState({term, group: state.incarnation});
     const configuration = {voters};
     state.append([
       {index: 1, term: 1, body: {kind: 'configuration', configuration}},
@@ -101,8 +109,8 @@
   }
 }
 
-/** Tells who lives here. */
-export function onHello(
+/** Replies with this instance's incarnation and whether its log is empty. */
+export function onHelloRequest(
   state: CoreState,
   ticket: number,
   message: RequestOf<'hello'>
@@ -111,7 +119,7 @@
     kind: 'hello',
     incarnation: state.incarnation,
     round: message.round,
-    // After damage something was held here, even if the log is empty now.
+    // After damage the log is empty now but held entries before.
     empty: state.isEmpty && state.hard.mayFound,
   });
 }
--- a/src/control/log/frame.ts
+++ b/src/control/log/frame.ts
@@ -1,22 +1,22 @@
 /**
- * Records on disk: length, checksum of the payload, checksum of both numbers,
- * then the payload as JSON. The header has a checksum of its own, so a flipped
- * bit in the length is told from a record that was cut off.
+ * Record format on disk: payload length, payload checksum and checksum of these
+ * two fields, followed by the payload as JSON. The header checksum
+ * distinguishes a flipped bit in the length from a truncated record.
  */
 
 import {crc32} from 'node:zlib';
 
 const HEADER_BYTES = 12;
 
-/** How the reading of a file ended. */
+/** Result of scanning a file to its end or first fault. */
 export type FrameEnd =
   | {readonly kind: 'whole'}
-  /** The file stops inside a record that was never acknowledged. */
+  /** The file ends within a record, which therefore was never acknowledged. */
   | {readonly kind: 'torn'; readonly atByte: number}
-  /** A record is all there and wrong: it may have been acknowledged. */
+  /** A complete record is corrupt. It may have been acknowledged. */
   | {readonly kind: 'damaged'; readonly atByte: number};
 
-/** The records of a file up to its end or its first fault. */
+/** The records of a file up to its end or first fault. */
 export interface FrameScan {
   readonly payloads: readonly unknown[];
   readonly end: FrameEnd;
@@ -33,13 +33,13 @@
   return frame;
 }
 
-/** Reads all records of a file. */
+/** Decodes the records of a file. */
 export function scanFrames(file: Buffer): FrameScan {
   const payloads: unknown[] = [];
   let atByte = 0;
   while (atByte < file.length) {
     const rest = file.subarray(atByte);
-    const fault = faultOf(rest);
+    const fault = frameFault(rest);
     if (fault !== undefined) return {payloads, end: {kind: fault, atByte}};
     const end = HEADER_BYTES + rest.readUInt32LE(0);
     payloads.push(
@@ -50,10 +50,11 @@
   return {payloads, end: {kind: 'whole'}};
 }
 
-function faultOf(rest: Buffer): 'torn' | 'damaged' | undefined {
+function frameFault(rest: Buffer): 'torn' | 'damaged' | undefined {
   if (rest.length < HEADER_BYTES) return 'torn';
   if (crc32(rest.subarray(0, 8)) !== rest.readUInt32LE(8))
-    // A file that grew before its bytes came reads as zeros.
+    // A crash may extend a file before its data is written; it then reads as
+    // zeros.
     return rest.every(byte => byte === 0) ? 'torn' : 'damaged';
   const end = HEADER_BYTES + rest.readUInt32LE(0);
   if (rest.length < end) return 'torn';
--- a/src/control/log/linearReads.ts
+++ b/src/control/log/linearReads.ts
@@ -1,6 +1,7 @@
 /**
- * Linearizable reads of one instance: the leader's own, and those of a follower
- * that asks the leader for the index to read at and waits until it has that.
+ * Linearizable reads. The leader confirms its leadership with a quorum. A
+ * follower requests a read index from the leader and waits until it has applied
+ * the log up to that index.
  */
 
 import {PeerError} from '../../core/errors';
@@ -12,27 +13,29 @@
 import type {PendingCalls} from './pendingCalls';
 import type {LogStatus} from './replicatedLog';
 
-const READ_TIMEOUT_MS = 3000;
+const APPLY_TIMEOUT_MS = 3000;
 
-/** What reads need of the log. */
-export interface LinearReadsParts {
+/** Dependencies of the reads. */
+export interface LinearizableReadsOptions {
   readonly instanceId: string;
   readonly peers: LogPeers;
   readonly calls: PendingCalls;
   readonly applier: LogApplier;
   status(): LogStatus;
-  /** Puts a barrier to the core; `calls` settles it. */
-  begin(ticket: number): void;
+  /** Starts a read barrier in the core; its result resolves in `calls`. */
+  startBarrier(ticket: number): void;
 }
 
-/** Barriers for callers here, and indices for followers that ask. */
-export class LinearReads {
-  constructor(private readonly parts: LinearReadsParts) {}
+/** Read barriers for local callers, and read indexes for followers. */
+export class LinearizableReads {
+  constructor(private readonly options: LinearizableReadsOptions) {}
 
-  /** Resolves when a read here shows all that was committed before the call. */
+  /**
+   * Resolves once all entries committed before the call are applied locally.
+   */
   async readBarrier(): Promise<void> {
-    const {instanceId, peers} = this.parts;
-    const {role, leaderId} = this.parts.status();
+    const {instanceId, peers} = this.options;
+    const {role, leaderId} = this.options.status();
     if (role === 'leader') {
       await this.leaderBarrier();
       return;
@@ -40,11 +43,11 @@
     const leader = leaderId === undefined ? undefined : peers.find(leaderId);
     if (leader === undefined)
       throw new NotLeaderError('readBarrier', instanceId, leaderId);
-    const index = await this.askIndex(leader);
-    await this.waitApplied(index);
+    const index = await this.requestReadIndex(leader);
+    await this.waitUntilApplied(index);
   }
 
-  /** The answer to a follower that asks for an index. */
+  /** The reply to a follower's request for a read index. */
   async answer(): Promise<PeerReply> {
     try {
       return {kind: 'readIndex', index: await this.leaderBarrier()};
@@ -55,11 +58,13 @@
   }
 
   private leaderBarrier(): Promise<number> {
-    return this.parts.calls.barrier(ticket => this.parts.begin(ticket));
+    return this.options.calls.barrier(ticket =>
+      this.options.startBarrier(ticket)
+    );
   }
 
-  private async askIndex(leader: LogPeer): Promise<number> {
-    const {instanceId} = this.parts;
+  private async requestReadIndex(leader: LogPeer): Promise<number> {
+    const {instanceId} = this.options;
     const message: PeerRequest = {kind: 'readIndex', from: instanceId};
     const reply = PEER_REPLY.parse(await leader.send(message));
     if (reply.kind === 'readIndex') return reply.index;
@@ -67,15 +72,15 @@
     throw new NotLeaderError('readBarrier', instanceId, leaderId);
   }
 
-  private async waitApplied(index: number): Promise<void> {
-    const {applier, calls, instanceId} = this.parts;
+  private async waitUntilApplied(index: number): Promise<void> {
+    const {applier, calls, instanceId} = this.options;
     if (index <= applier.appliedIndex) return;
-    const late = new PeerError(
+    const timeoutError = new PeerError(
       {kind: 'timeout'},
       'readBarrier',
       instanceId,
       `entry ${index} did not come`
     );
-    await calls.applied(index, READ_TIMEOUT_MS, late);
+    await calls.untilApplied(index, APPLY_TIMEOUT_MS, timeoutError);
   }
 }
--- a/src/control/log/logApplier.ts
+++ b/src/control/log/logApplier.ts
@@ -1,20 +1,25 @@
-/** Drives the state machine: applies, restores, and says when to snapshot. */
+/** Applies entries and snapshots to the state machine, and takes snapshots. */
 
 import type {LogLimits} from './logOptions';
 import type {LogEntry, LogSnapshot} from './entry';
 import type {PendingCalls} from './pendingCalls';
 import type {StateMachine} from './replicatedLog';
 
-/** About the size of an entry; spreads the cost of a snapshot over entries. */
-const CHARS_PER_ENTRY = 256;
+/**
+ * Typical size of an entry, used to compare a log length to a snapshot size.
+ */
+const TYPICAL_ENTRY_CHARS = 256;
 
-/** The state machine and how far it is. */
+/** The state machine and the index up to which it has applied the log. */
 export class LogApplier {
   private applied = 0;
-  private snapshotAt = 0;
+  private snapshotIndex = 0;
   private snapshotChars = 0;
-  /** Bytes written when the last snapshot was taken, until it is on disk. */
-  private bytesTaken = 0;
+  /**
+   * Value of the storage's byte counter when the last snapshot was taken. The
+   * counter restarts once that snapshot is on disk.
+   */
+  private bytesAtLastSnapshot = 0;
 
   constructor(
     private readonly stateMachine: StateMachine,
@@ -30,9 +35,9 @@
   restore(snapshot: LogSnapshot): void {
     this.stateMachine.restore(snapshot.data);
     this.applied = snapshot.index;
-    this.snapshotAt = snapshot.index;
+    this.snapshotIndex = snapshot.index;
     this.snapshotChars = snapshot.data.length;
-    this.calls.reached(this.applied);
+    this.calls.resolveApplied(this.applied);
   }
 
   apply(entries: readonly LogEntry[]): void {
@@ -40,35 +45,36 @@
       this.applied = index;
       if (body.kind === 'configuration') continue;
       const result = this.stateMachine.apply(body.command, index);
-      this.calls.resolveAt(index, result);
+      this.calls.resolveProposal(index, result);
     }
-    this.calls.reached(this.applied);
+    this.calls.resolveApplied(this.applied);
   }
 
   /**
-   * Takes a snapshot when the log has grown by enough since the last: by the
-   * limits, and by about the size of the state, or a large state would be
-   * written over and over.
+   * Takes a snapshot if the log has grown enough since the last one: by the
+   * configured limits, and by about the size of the last snapshot. Without the
+   * second condition a large state would be rewritten too often.
    */
   snapshotIfDue(
     bytes: number
   ): {readonly index: number; readonly data: string} | undefined {
-    if (bytes < this.bytesTaken) this.bytesTaken = 0;
-    if (!this.isDue(bytes - this.bytesTaken)) return undefined;
+    if (bytes < this.bytesAtLastSnapshot) this.bytesAtLastSnapshot = 0;
+    if (!this.isSnapshotDue(bytes - this.bytesAtLastSnapshot)) return undefined;
     const data = this.stateMachine.snapshot();
-    this.snapshotAt = this.applied;
+    this.snapshotIndex = this.applied;
     this.snapshotChars = data.length;
-    this.bytesTaken = bytes;
+    this.bytesAtLastSnapshot = bytes;
     return {index: this.applied, data};
   }
 
-  private isDue(bytes: number): boolean {
+  private isSnapshotDue(bytes: number): boolean {
     const {snapshotEntries, snapshotBytes} = this.limits;
     const {snapshotChars} = this;
-    const grown = this.applied - this.snapshotAt;
-    if (grown === 0) return false;
+    const newEntries = this.applied - this.snapshotIndex;
+    if (newEntries === 0) return false;
     return (
-      grown >= Math.max(snapshotEntries, snapshotChars / CHARS_PER_ENTRY) ||
+      newEntries >=
+        Math.max(snapshotEntries, snapshotChars / TYPICAL_ENTRY_CHARS) ||
       bytes >= Math.max(snapshotBytes, snapshotChars)
     );
   }
--- a/src/control/log/logDriver.ts
+++ b/src/control/log/logDriver.ts
@@ -1,4 +1,4 @@
-/** Connects the pure core to timers, peers, disk and state machine. */
+/** Runs the Raft core: connects it to timers, peers, disk and state machine. */
 
 import type {Observable, Subscription} from 'rxjs';
 import {BehaviorSubject, firstValueFrom, interval, timer} from 'rxjs';
@@ -7,7 +7,7 @@
 import type {LogLimits, LogPeers, ReplicatedLogOptions} from './logOptions';
 import type {CoreEffect, CoreEvent, LogTiming} from './coreEvents';
 import type {DurableState, LogEntry} from './entry';
-import {LinearReads} from './linearReads';
+import {LinearizableReads} from './linearReads';
 import {LogApplier} from './logApplier';
 import type {LogStorage} from './logStorage';
 import {LogWriter} from './logWriter';
@@ -19,16 +19,17 @@
 import type {LogStatus, ReplicatedLog} from './replicatedLog';
 
 const TICK_MS = 25;
-const FAREWELL_MS = 200;
+/** Maximum wait at shutdown for peers to receive the resignation. */
+const RESIGN_TIMEOUT_MS = 200;
 const BAD_MESSAGE_CODE = 400;
-const CLOSED_CODE = 503;
+const NOT_RUNNING_CODE = 503;
 
 /** Options with all defaults filled in. */
 export interface LogDriverOptions extends ReplicatedLogOptions {
   readonly timing: LogTiming;
   readonly limits: LogLimits;
-  /** Empties the storage and gives a new incarnation. */
-  readonly startAfresh: () => Promise<DurableState>;
+  /** Sets the stored log aside and creates a new incarnation. */
+  readonly resetStorage: () => Promise<DurableState>;
 }
 
 /** The running log of one instance. */
@@ -41,14 +42,14 @@
   private readonly ticks: Subscription;
   private readonly statusSubject: BehaviorSubject<LogStatus>;
   private readonly events: CoreEvent[] = [];
-  private readonly farewells: Promise<unknown>[] = [];
+  private readonly pendingResigns: Promise<unknown>[] = [];
   private handling = false;
-  /** While false, events and calls are turned away. */
+  /** While false, events are dropped and calls are rejected. */
   private running = true;
   private closed = false;
   private nextRequest = 1;
   private readonly applier: LogApplier;
-  private readonly reads: LinearReads;
+  private readonly reads: LinearizableReads;
 
   constructor(
     private readonly options: LogDriverOptions,
@@ -60,13 +61,13 @@
     const {stateMachine, limits} = options;
     this.applier = new LogApplier(stateMachine, this.calls, limits);
     if (durable.snapshot !== undefined) this.applier.restore(durable.snapshot);
-    this.reads = new LinearReads({
+    this.reads = new LinearizableReads({
       instanceId: options.id,
       peers: this.peers,
       calls: this.calls,
       applier: this.applier,
       status: () => this.core.status(),
-      begin: ticket => this.handle({kind: 'readBarrier', ticket}),
+      startBarrier: ticket => this.handle({kind: 'readBarrier', ticket}),
     });
     this.core = this.createCore(durable);
     this.statusSubject = new BehaviorSubject(this.core.status());
@@ -102,7 +103,10 @@
     const parsed = PEER_REQUEST.safeParse(message);
     if (parsed.success) return this.answer(parsed.data);
     const detail = parsed.error.message;
-    this.options.logger.warn({step: 'receive', detail}, 'bad message');
+    this.options.logger.warn(
+      {step: 'receive', detail},
+      'rejected a malformed message of a peer'
+    );
     throw new PeerError(
       {kind: 'rejected', code: BAD_MESSAGE_CODE},
       'receive',
@@ -114,8 +118,8 @@
   async close(): Promise<void> {
     this.handle({kind: 'resign'});
     await Promise.race([
-      Promise.allSettled(this.farewells),
-      firstValueFrom(timer(FAREWELL_MS)),
+      Promise.allSettled(this.pendingResigns),
+      firstValueFrom(timer(RESIGN_TIMEOUT_MS)),
     ]);
     this.stop(
       new PeerError(
@@ -136,7 +140,7 @@
         id,
         peerIds: () => peers.ids(),
         founders,
-        forget,
+        voterEviction: forget,
         random,
         timing,
         batchEntries: limits.batchEntries,
@@ -158,7 +162,7 @@
     });
   }
 
-  /** Runs events one after another; effects may raise further events. */
+  /** Handles events one at a time; performing effects may queue more events. */
   private handle(event: CoreEvent): void {
     if (!this.running) return;
     this.events.push(event);
@@ -196,15 +200,15 @@
       case 'restore':
         return this.applier.restore(effect.snapshot);
       case 'proposed':
-        return this.calls.place(effect.ticket, effect.index);
+        return this.calls.markAppended(effect.ticket, effect.index);
       case 'refused':
-        return this.refuse(effect.ticket, effect.leaderId);
+        return this.rejectNotLeader(effect.ticket, effect.leaderId);
       case 'readReady':
         return this.calls.ready(effect.ticket, effect.index);
       case 'elected':
         return this.reportElected(effect.term);
       case 'leadershipLost':
-        return this.loseProposals();
+        return this.rejectOpenProposals();
       case 'rejoin':
         return this.rejoin(effect.reason);
       default:
@@ -223,19 +227,27 @@
   private send(to: string, message: CoreRequest): void {
     const peer = this.peers.find(to);
     if (peer === undefined) return;
-    const answer = peer.send(message);
-    // A process that ends right away would take the message with it.
-    if (message.kind === 'resign') this.farewells.push(answer);
-    answer.then(
-      reply => this.takeAnswer(to, message, reply),
+    const pendingReply = peer.send(message);
+    // A process that exits at once would lose the message, so close() waits for
+    // it.
+    if (message.kind === 'resign') this.pendingResigns.push(pendingReply);
+    pendingReply.then(
+      reply => this.onPeerReply(to, message, reply),
       () => this.handle({kind: 'sendFailed', to, message})
     );
   }
 
-  private takeAnswer(to: string, message: CoreRequest, answer: unknown): void {
-    const parsed = PEER_REPLY.safeParse(answer);
+  private onPeerReply(
+    to: string,
+    message: CoreRequest,
+    rawReply: unknown
+  ): void {
+    const parsed = PEER_REPLY.safeParse(rawReply);
     if (!parsed.success) {
-      this.options.logger.warn({step: message.kind, peer: to}, 'bad answer');
+      this.options.logger.warn(
+        {step: message.kind, peer: to},
+        'ignored a malformed reply of a peer'
+      );
       this.handle({kind: 'sendFailed', to, message});
       return;
     }
@@ -255,19 +267,25 @@
     if (taken !== undefined) this.handle({kind: 'snapshotTaken', ...taken});
   }
 
-  private refuse(ticket: number, leaderId: string | undefined): void {
+  private rejectNotLeader(ticket: number, leaderId: string | undefined): void {
     const err = new NotLeaderError('propose', this.options.id, leaderId);
-    this.calls.refuse(ticket, err);
+    this.calls.rejectTicket(ticket, err);
   }
 
   private reportElected(term: number): void {
     this.options.metrics?.count('log.elected');
-    this.options.logger.info({step: 'election', term}, 'this instance leads');
+    this.options.logger.info(
+      {step: 'election', term},
+      'this instance became the leader'
+    );
   }
 
-  private loseProposals(): void {
-    this.options.logger.warn({step: 'election'}, 'leadership ended');
-    this.calls.rejectPlaced(
+  private rejectOpenProposals(): void {
+    this.options.logger.warn(
+      {step: 'election'},
+      'this instance lost leadership'
+    );
+    this.calls.rejectAppended(
       new PeerError(
         {kind: 'lost'},
         'propose',
@@ -277,17 +295,20 @@
     );
   }
 
-  /** Drops a founding that failed, and joins the group that was founded. */
+  /** Discards the log of a failed founding, to join the group that exists. */
   private rejoin(reason: string): void {
     if (this.closed) return;
-    this.options.logger.error({step: 'rejoin', reason}, 'starting afresh');
+    this.options.logger.error(
+      {step: 'rejoin', reason},
+      'discarding the local log and rejoining as a new incarnation'
+    );
     this.running = false;
     this.events.length = 0;
     this.answers.clear();
     this.writer.stop();
     this.writer
       .idle()
-      .then(() => this.options.startAfresh())
+      .then(() => this.options.resetStorage())
       .then(durable => {
         if (this.closed) return;
         this.core = this.createCore(durable);
@@ -305,7 +326,10 @@
 
   private fail(err: unknown): void {
     if (this.closed) return;
-    this.options.logger.fatal({step: 'log', err}, 'the log stops');
+    this.options.logger.fatal(
+      {step: 'log', err},
+      'the replicated log stopped after a fatal error'
+    );
     this.stop(err);
     this.options.onFatal(err);
   }
@@ -323,7 +347,7 @@
   private assertRunning(step: string): void {
     if (this.running) return;
     throw new PeerError(
-      {kind: 'rejected', code: CLOSED_CODE},
+      {kind: 'rejected', code: NOT_RUNNING_CODE},
       step,
       this.options.id,
       'the log is not running'
--- a/src/control/log/logOptions.ts
+++ b/src/control/log/logOptions.ts
@@ -1,4 +1,4 @@
-/** What the log of one instance is started with, and how it reaches the others. */
+/** Options of the replicated log, and its connections to peers. */
 
 import type {Logger} from '../../core/logger';
 import type {Metrics} from '../../core/metrics';
@@ -6,78 +6,90 @@
 import type {LogStorage} from './logStorage';
 import type {StateMachine} from './replicatedLog';
 
-/** Another instance, and how to ask it. */
+/** Another instance and its connection. */
 export interface LogPeer {
   readonly id: string;
-  /** Sends a JSON message; rejects when no answer came. */
+  /** Sends a JSON message and resolves with the reply; rejects without one. */
   send(message: unknown): Promise<unknown>;
 }
 
-/** The other instances known at the moment; may grow and shrink. */
+/** The other instances currently known. The set may change over time. */
 export interface LogPeers {
   ids(): readonly string[];
-  /** Absent when the id is not known here. */
+  /** The peer with this id, or undefined if it is not known. */
   find(id: string): LogPeer | undefined;
 }
 
-/** When a silent voter leaves the group. */
+/** When the leader removes a silent voter from the group. */
 export interface ForgetRule {
-  /** Silence after which a voter counts as gone, milliseconds. */
+  /** Time without a reply after which a voter is considered gone. */
   readonly afterMs: number;
-  /** Voters that must remain, so that a loss within the tolerance stays one. */
+  /**
+   * Minimum number of voters. No voter is removed at or below it, since a
+   * smaller group would tolerate fewer failures than intended.
+   */
   readonly keepVoters: number;
 }
 
-/** Peers that do not change. */
+/** Creates a fixed set of peers. */
 export function fixedPeers(peers: readonly LogPeer[]): LogPeers {
   const byId = new Map(peers.map(peer => [peer.id, peer]));
   const ids = [...byId.keys()];
   return {ids: () => ids, find: id => byId.get(id)};
 }
 
-/** What the log of one instance needs. */
+/** Options of the log of one instance. */
 export interface ReplicatedLogOptions {
   readonly id: string;
-  /** The other instances; none for a single one. */
+  /** The other instances; none if this is the only one. */
   readonly peers: LogPeers;
   /**
-   * Instances that found the group, where the others are not known from the
-   * start; all peers and this one when absent.
+   * Ids of the instances that found the group, if not all peers are known from
+   * the start. When absent, this instance and all peers found it.
    */
   readonly founders?: readonly string[];
   /** Whether an empty disk may found a group; true when absent. */
   readonly mayFound?: boolean;
   /**
-   * When a voter that fell silent is dropped. Only where machines are replaced
-   * at new addresses: the old ones would else count in the quorum for ever.
+   * When to remove a silent voter; never when absent. Needed only if machines
+   * are replaced by others with new addresses: the old ones would otherwise
+   * remain in the quorum forever.
    */
   readonly forget?: ForgetRule;
-  /** Folder for this instance's durable state alone. */
+  /** Directory for durable state, used by this instance only. */
   readonly dataDir: string;
   readonly stateMachine: StateMachine;
   readonly logger: Logger;
-  /** From 0 to below 1; spreads the election timeouts. */
+  /**
+   * Returns a number from 0 up to, but not including, 1, for election timeouts.
+   */
   readonly random: () => number;
-  /** The disk failed or a rule was broken: the process must stop. */
+  /**
+   * Called when the disk fails or an invariant is violated. The log has
+   * stopped.
+   */
   readonly onFatal: (err: unknown) => void;
   readonly metrics?: Pick<Metrics, 'count'>;
   readonly timing?: LogTiming;
   readonly limits?: Partial<LogLimits>;
-  /** Instead of the disk, in tests. */
+  /** Replaces the disk in tests. */
   readonly storage?: LogStorage;
 }
 
-/** When the log is shortened, and how much goes into one message. */
+/** When the log is compacted, and how large messages may become. */
 export interface LogLimits {
-  /** Entries applied since the last snapshot that call for the next. */
+  /** Entries applied since the last snapshot that trigger the next one. */
   readonly snapshotEntries: number;
-  /** Bytes written since the last snapshot that call for the next. */
+  /** Bytes written since the last snapshot that trigger the next one. */
   readonly snapshotBytes: number;
-  /** Entries kept behind a snapshot for followers that lag a little. */
+  /** Entries retained behind a snapshot for followers that lag a little. */
   readonly trailingEntries: number;
+  /** Maximum number of entries in one message. */
   readonly batchEntries: number;
-  /** Characters of entries in one message, unless one alone has more. */
+  /**
+   * Maximum size of the entries in one message, unless a single one exceeds it.
+   */
   readonly batchChars: number;
-  /** Characters of a snapshot in one message. */
+  /** Maximum size of a snapshot chunk, in characters. */
   readonly chunkChars: number;
 }
--- a/src/control/log/logStorage.ts
+++ b/src/control/log/logStorage.ts
@@ -1,20 +1,20 @@
-/** Where the log's durable state lives, as the driver sees it. */
+/** Interface of the storage of the log's durable state. */
 
 import type {DurableState, LogWrite} from './entry';
 
-/** What was found at the start. */
+/** Result of loading the durable state at start. */
 export type LoadResult =
   | {readonly kind: 'empty'}
   | {readonly kind: 'state'; readonly state: DurableState}
-  /** Something acknowledged may be missing; nothing of it can be trusted. */
+  /** Acknowledged data may be missing, so none of the state can be trusted. */
   | {readonly kind: 'damaged'; readonly detail: string};
 
-/** Durable state of one instance. A failed call must not be tried again. */
+/** Durable state of one instance. A failed call must not be retried. */
 export interface LogStorage {
   load(): Promise<LoadResult>;
-  /** Resolves once all writes are durable, in order. */
+  /** Performs the writes in order and resolves once all are durable. */
   write(writes: readonly LogWrite[]): Promise<void>;
-  /** Moves everything out of the way, so that the next start is empty. */
+  /** Moves all state into another directory, which leaves the storage empty. */
   setAside(): Promise<void>;
   /** Bytes of entries written since the last snapshot. */
   readonly bytesSinceSnapshot: number;
--- a/src/control/log/logWriter.ts
+++ b/src/control/log/logWriter.ts
@@ -1,16 +1,19 @@
-/** Writes durable changes in order; what queues up meanwhile is synced once. */
+/**
+ * Writes durable changes in order. Changes queued during a write are written
+ * together and synced once (group commit).
+ */
 
 import type {LogWrite} from './entry';
 import type {LogStorage} from './logStorage';
 
-interface Queued {
+interface QueuedWrites {
   readonly writes: readonly LogWrite[];
   readonly done: () => void;
 }
 
-/** Group commit over a storage. The first failure ends it. */
+/** Queue of writes to a storage. The first failure ends it. */
 export class LogWriter {
-  private queue: Queued[] = [];
+  private queue: QueuedWrites[] = [];
   private running: Promise<void> | undefined;
 
   constructor(
@@ -24,12 +27,12 @@
     this.running ??= this.run();
   }
 
-  /** Resolves when nothing is being written any more. */
+  /** Resolves when no write is running. */
   async idle(): Promise<void> {
     await this.running;
   }
 
-  /** Drops what has not been started. */
+  /** Drops queued writes that have not started. */
   stop(): void {
     this.queue = [];
   }
--- a/src/control/log/messages.ts
+++ b/src/control/log/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between control instances; parsed once where they come in. */
+/** Messages between instances of the log, validated when received. */
 
 import * as z from 'zod';
 import type {Command} from '../state/command';
@@ -9,9 +9,10 @@
 const COMMAND_SHAPE = z.looseObject({kind: ID});
 
 /**
- * A command was validated where it was proposed, and every copy must stay
- * equal to the leader's, so no more than its shape is looked at here: a list
- * of kinds would stop replication as soon as it lacked a new one.
+ * Only the outer shape of a command is validated here. Its content was
+ * validated when it was proposed, and a follower must store exactly what the
+ * leader has. A list of known kinds would stop replication at the first unknown
+ * kind.
  */
 const COMMAND = z.custom<Command>(
   value => COMMAND_SHAPE.safeParse(value).success
@@ -33,8 +34,8 @@
   ]),
 });
 
-/** Sender, and the incarnation that alone may act on the message. */
-const ADDRESS = {
+/** Sender, recipient, group and term. Other incarnations reject the message. */
+const REQUEST_HEADER = {
   from: ID,
   fromIncarnation: ID,
   toIncarnation: ID,
@@ -42,31 +43,31 @@
   term: INDEX,
 };
 
-const VOTE_FIELDS = {...ADDRESS, lastIndex: INDEX, lastTerm: INDEX};
+const VOTE_FIELDS = {...REQUEST_HEADER, lastIndex: INDEX, lastTerm: INDEX};
 
 const LEADER_FIELDS = {
-  ...ADDRESS,
-  /** Number of the request, echoed. */
+  ...REQUEST_HEADER,
+  /** Sequence number of the request, echoed in the reply. */
   seq: INDEX,
-  /** Read round, echoed. */
+  /** Number of the latest read round, echoed in the reply. */
   round: INDEX,
-  /** Sender's clock in milliseconds, echoed. */
+  /** Sender's clock in milliseconds, echoed in the reply. */
   sentAt: z.number(),
 };
 
-/** Requests between instances. */
+/** Schema of requests between instances. */
 export const PEER_REQUEST = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('hello'),
     from: ID,
     fromIncarnation: ID,
-    /** Round of questions, echoed. */
+    /** Number of the founding round, echoed in the reply. */
     round: z.number().int(),
   }),
   z.strictObject({kind: z.literal('preVote'), ...VOTE_FIELDS}),
   z.strictObject({kind: z.literal('vote'), ...VOTE_FIELDS}),
-  /** The leader goes; whoever is ready may stand at once. */
-  z.strictObject({kind: z.literal('resign'), ...ADDRESS}),
+  /** The leader steps down; peers may start an election early. */
+  z.strictObject({kind: z.literal('resign'), ...REQUEST_HEADER}),
   z.strictObject({
     kind: z.literal('append'),
     ...LEADER_FIELDS,
@@ -83,35 +84,35 @@
       term: INDEX,
       configuration: CONFIGURATION,
     }),
-    /** Where `chunk` begins in the data, in UTF-16 units. */
+    /** Offset of `chunk` in the data, in UTF-16 code units. */
     offset: INDEX,
     chunk: z.string(),
-    /** Whether the data ends with this chunk. */
+    /** Whether this is the last chunk. */
     done: z.boolean(),
   }),
   z.strictObject({kind: z.literal('readIndex'), from: ID}),
 ]);
 
 /**
- * Whose request is answered. The answerer's own term may have risen since: an
- * answer to an earlier leadership of the asker, or to what was wiped there,
- * would else pass for one to the present.
+ * Incarnation and term of the request that is answered. The reply's own term
+ * may be higher, so without these fields a reply to an earlier leadership or an
+ * earlier incarnation of the sender could be taken for a current one.
  */
-const ASKED = {asker: ID, askedTerm: INDEX};
+const REQUEST_ECHO = {asker: ID, askedTerm: INDEX};
 
-/** Answers between instances. */
+/** Schema of replies between instances. */
 export const PEER_REPLY = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('hello'),
     incarnation: ID,
     round: z.number().int(),
-    /** Whether nothing was ever held here, as far as the disk tells. */
+    /** Whether the instance never held any entry, as far as its disk shows. */
     empty: z.boolean(),
   }),
   z.strictObject({
     kind: z.literal('vote'),
     incarnation: ID,
-    ...ASKED,
+    ...REQUEST_ECHO,
     preVote: z.boolean(),
     term: INDEX,
     granted: z.boolean(),
@@ -119,20 +120,20 @@
   z.strictObject({
     kind: z.literal('progress'),
     incarnation: ID,
-    ...ASKED,
+    ...REQUEST_ECHO,
     term: INDEX,
     ok: z.boolean(),
-    /** When ok: synced here and equal to the leader's up to this index. */
+    /** If ok: the log is synced and equal to the leader's up to this index. */
     matchIndex: INDEX,
-    /** When not ok: where the leader should try next. */
+    /** If not ok: index from which the leader should retry. */
     hint: INDEX,
-    /** Of an unfinished snapshot: how much of its data is here. */
+    /** During a snapshot transfer: characters received so far. */
     received: INDEX,
     seq: INDEX,
     round: INDEX,
     sentAt: z.number(),
   }),
-  /** The addressed incarnation or group does not live here. */
+  /** The request was addressed to another incarnation or another group. */
   z.strictObject({
     kind: z.literal('stranger'),
     incarnation: ID,
@@ -149,21 +150,21 @@
 
 /** A request between instances. */
 export type PeerRequest = z.infer<typeof PEER_REQUEST>;
-/** An answer between instances. */
+/** A reply between instances. */
 export type PeerReply = z.infer<typeof PEER_REPLY>;
-/** Requests that the pure core handles; the read index is the driver's. */
+/** Requests that the Raft core handles; the driver handles `readIndex`. */
 export type CoreRequest = Exclude<PeerRequest, {kind: 'readIndex'}>;
-/** Answers that the pure core handles. */
+/** Replies that the Raft core handles. */
 export type CoreReply = Exclude<
   PeerReply,
   {kind: 'readIndex'} | {kind: 'notLeader'}
 >;
-/** One kind of request. */
+/** A request of one kind. */
 export type RequestOf<K extends PeerRequest['kind']> = Extract<
   PeerRequest,
   {kind: K}
 >;
-/** One kind of answer. */
+/** A reply of one kind. */
 export type ReplyOf<K extends PeerReply['kind']> = Extract<
   PeerReply,
   {kind: K}
--- a/src/control/log/notLeaderError.ts
+++ b/src/control/log/notLeaderError.ts
@@ -1,16 +1,16 @@
-/** The answer of an instance that does not lead. */
+/** Error of an operation that only the leader can perform. */
 
 import {PeerError} from '../../core/errors';
 
-/** Code of the refusal, as PeerError carries it. */
+/** Code of the `rejected` fault in the PeerError. */
 export const NOT_LEADER_CODE = 421;
 
-/** Nothing was proposed; the leader may be asked instead. */
+/** The operation had no effect; it can be retried at the leader. */
 export class NotLeaderError extends PeerError {
   constructor(
     step: string,
     readonly instanceId: string,
-    /** Undefined while none is known. */
+    /** Undefined while no leader is known. */
     readonly leaderId: string | undefined
   ) {
     super(
--- a/src/control/log/pendingCalls.ts
+++ b/src/control/log/pendingCalls.ts
@@ -1,4 +1,4 @@
-/** Callers that wait for the outcome of a proposal or a barrier. */
+/** Calls that wait for the result of a proposal or a read barrier. */
 
 import type {CommandResult} from '../state/command';
 
@@ -11,11 +11,14 @@
   readonly index: number;
 }
 
-/** Promises by ticket, by log index, and by applied index. */
+/**
+ * Pending promises: proposals by ticket until they are appended and then by log
+ * index, read barriers by ticket, and waits for an applied index.
+ */
 export class PendingCalls {
   private nextTicket = 1;
   private readonly proposals = new Map<number, Waiter<CommandResult>>();
-  private readonly placed = new Map<number, Waiter<CommandResult>>();
+  private readonly appendedProposals = new Map<number, Waiter<CommandResult>>();
   private readonly barriers = new Map<number, Waiter<number>>();
   private applyWaiters: ApplyWaiter[] = [];
 
@@ -27,7 +30,7 @@
     });
   }
 
-  /** Resolves with the index that is safe to read at. */
+  /** Resolves with the read index. */
   barrier(start: (ticket: number) => void): Promise<number> {
     return new Promise((resolve, reject) => {
       const ticket = this.nextTicket++;
@@ -36,27 +39,33 @@
     });
   }
 
-  /** Resolves once `index` is applied; rejects with `late` after a while. */
-  applied(index: number, timeoutMs: number, late: Error): Promise<void> {
+  /**
+   * Resolves once `index` is applied; rejects with `timeoutError` otherwise.
+   */
+  untilApplied(
+    index: number,
+    timeoutMs: number,
+    timeoutError: Error
+  ): Promise<void> {
     return new Promise((resolve, reject) => {
       const waiter = {index, resolve, reject};
       this.applyWaiters.push(waiter);
       const timer = setTimeout(() => {
-        this.applyWaiters = this.applyWaiters.filter(one => one !== waiter);
-        reject(late);
+        this.applyWaiters = this.applyWaiters.filter(other => other !== waiter);
+        reject(timeoutError);
       }, timeoutMs);
       timer.unref();
     });
   }
 
-  place(ticket: number, index: number): void {
+  markAppended(ticket: number, index: number): void {
     const waiter = this.proposals.get(ticket);
     if (waiter === undefined) return;
     this.proposals.delete(ticket);
-    this.placed.set(index, waiter);
+    this.appendedProposals.set(index, waiter);
   }
 
-  refuse(ticket: number, err: unknown): void {
+  rejectTicket(ticket: number, err: unknown): void {
     this.proposals.get(ticket)?.reject(err);
     this.proposals.delete(ticket);
     this.barriers.get(ticket)?.reject(err);
@@ -68,12 +77,12 @@
     this.barriers.delete(ticket);
   }
 
-  resolveAt(index: number, result: CommandResult): void {
-    this.placed.get(index)?.resolve(result);
-    this.placed.delete(index);
+  resolveProposal(index: number, result: CommandResult): void {
+    this.appendedProposals.get(index)?.resolve(result);
+    this.appendedProposals.delete(index);
   }
 
-  reached(index: number): void {
+  resolveApplied(index: number): void {
     const due = this.applyWaiters.filter(waiter => waiter.index <= index);
     if (due.length === 0) return;
     this.applyWaiters = this.applyWaiters.filter(
@@ -82,15 +91,15 @@
     for (const waiter of due) waiter.resolve();
   }
 
-  /** Proposals in the log whose outcome will not be known here. */
-  rejectPlaced(err: unknown): void {
-    const waiters = [...this.placed.values()];
-    this.placed.clear();
+  /** Rejects proposals whose outcome this instance will no longer learn. */
+  rejectAppended(err: unknown): void {
+    const waiters = [...this.appendedProposals.values()];
+    this.appendedProposals.clear();
     for (const waiter of waiters) waiter.reject(err);
   }
 
   rejectAll(err: unknown): void {
-    this.rejectPlaced(err);
+    this.rejectAppended(err);
     const waiters = [
       ...this.proposals.values(),
       ...this.barriers.values(),
--- a/src/control/log/raftCore.ts
+++ b/src/control/log/raftCore.ts
@@ -1,6 +1,7 @@
 /**
- * The pure core of the replicated log: events in, effects out. It does no I/O
- * and has no clock; the same events give the same effects.
+ * The Raft core: a deterministic state machine that turns events into effects.
+ * It performs no I/O and has no clock, so the same events produce the same
+ * effects.
  */
 
 import {unreachable} from '../../core/errors';
@@ -18,35 +19,35 @@
 import type {DurableState} from './entry';
 import {onAppend} from './followerLog';
 import {onSnapshot} from './followerSnapshot';
-import {Founding, onHello} from './founding';
+import {GroupFounding, onHelloRequest} from './founding';
 import type {CoreReply, CoreRequest} from './messages';
 import {onReadBarrier} from './reads';
 import {
   appendAsLeader,
-  onHelloForLeader,
+  onHelloReply,
   onProgress,
   onSendFailed,
-  onStranger,
+  onStrangerReply,
   tickLeader,
 } from './replication';
 import type {LogStatus} from './replicatedLog';
 
-/** One instance of the log. */
+/** The Raft core of one instance. */
 export class RaftCore {
   private readonly state: CoreState;
-  private readonly founding: Founding;
+  private readonly founding: GroupFounding;
 
   constructor(options: CoreOptions, durable: DurableState, nowMs: number) {
     this.state = new CoreState(options, durable, nowMs);
-    this.founding = new Founding(this.state);
+    this.founding = new GroupFounding(this.state);
   }
 
-  /** Handles one event; the effects are to be carried out in order. */
+  /** Handles one event and returns its effects, to be performed in order. */
   step(event: CoreEvent, nowMs: number): readonly CoreEffect[] {
     this.state.effects = [];
     this.state.now = nowMs;
-    // Timers go first: a leader that was paused must step down before it
-    // handles whatever arrived meanwhile.
+    // Timers run first: a leader that was paused must step down before it
+    // handles events that arrived during the pause.
     this.tick();
     this.handle(event);
     return this.state.effects;
@@ -67,7 +68,7 @@
     };
   }
 
-  /** Commands after the commit index. */
+  /** Commands in the log after the commit index. */
   uncommitted(): readonly Command[] {
     const {log, commitIndex} = this.state;
     return log
@@ -113,8 +114,8 @@
 
   private onRequest(ticket: number, message: CoreRequest): void {
     const {state} = this;
-    if (message.kind === 'hello') return onHello(state, ticket, message);
-    if (this.refuseStranger(ticket, message)) return;
+    if (message.kind === 'hello') return onHelloRequest(state, ticket, message);
+    if (this.rejectMisaddressed(ticket, message)) return;
     switch (message.kind) {
       case 'preVote':
       case 'vote':
@@ -130,8 +131,8 @@
     }
   }
 
-  /** Refuses what was meant for another incarnation or group. */
-  private refuseStranger(
+  /** Rejects requests addressed to another incarnation or group. */
+  private rejectMisaddressed(
     ticket: number,
     message: Exclude<CoreRequest, {kind: 'hello'}>
   ): boolean {
@@ -140,7 +141,7 @@
     const addressed = message.toIncarnation === state.incarnation;
     const sameGroup = state.isEmpty || group === message.group;
     if (addressed && sameGroup) return false;
-    if (addressed) this.leaveFailedFounding(message);
+    if (addressed) this.abandonFailedFounding(message);
     state.reply(ticket, {
       kind: 'stranger',
       incarnation: state.incarnation,
@@ -151,10 +152,10 @@
   }
 
   /**
-   * What a failed founding left here was never committed, once another group
-   * has committed something.
+   * Discards a log that a failed founding left behind. If another group has
+   * committed an entry, this group never has and never will.
    */
-  private leaveFailedFounding(message: CoreRequest): void {
+  private abandonFailedFounding(message: CoreRequest): void {
     if (message.kind !== 'append' || message.commitIndex === 0) return;
     if (this.state.commitIndex > 0) return;
     this.state.emit({kind: 'rejoin', reason: 'another group was founded'});
@@ -165,14 +166,14 @@
     switch (message.kind) {
       case 'hello':
         if (state.leadership !== undefined)
-          return onHelloForLeader(state, from, message);
-        return this.founding.onHello(from, message);
+          return onHelloReply(state, from, message);
+        return this.founding.onHelloReply(from, message);
       case 'vote':
         return onVoteReply(state, message);
       case 'progress':
         return onProgress(state, from, message);
       case 'stranger':
-        return onStranger(state, from, message);
+        return onStrangerReply(state, from, message);
       case 'resign':
         return;
       default:
--- a/src/control/log/reads.ts
+++ b/src/control/log/reads.ts
@@ -1,13 +1,13 @@
 /**
- * Linearizable reads: an index is safe to read once a quorum has answered a
- * round of messages that was sent after the read was asked for. A leader that
- * was replaced without knowing gets no such quorum.
+ * Raft's ReadIndex protocol. The commit index is safe to read at once a quorum
+ * has replied to a round of messages sent after the read was requested. A
+ * leader that has been deposed without noticing does not get that quorum.
  */
 
 import type {CoreState, Leadership} from './coreState';
 import {hasCommittedOwnTerm, progressOf, sendHeartbeats} from './replication';
 
-/** Takes in a barrier; many share one round. */
+/** Queues a read barrier; barriers share read rounds. */
 export function onReadBarrier(state: CoreState, ticket: number): void {
   const {leadership} = state;
   if (leadership === undefined) {
@@ -19,11 +19,14 @@
   confirmReads(state);
 }
 
-/** Ends the round when a quorum has answered it, and starts the next. */
+/**
+ * Completes the read round if a quorum has confirmed it, and starts the next.
+ */
 export function confirmReads(state: CoreState): void {
   const {leadership} = state;
   if (leadership === undefined) return;
-  // Until the noop is committed, this leader may not know of all that was.
+  // Until its no-op entry is committed, a new leader may not know the latest
+  // commit index.
   if (!hasCommittedOwnTerm(state, leadership)) return;
   if (leadership.roundTickets.length > 0 && isConfirmed(state, leadership))
     finishRound(state, leadership);
--- a/src/control/log/replicatedLog.ts
+++ b/src/control/log/replicatedLog.ts
@@ -1,4 +1,4 @@
-/** What the rest of a control instance needs of the replicated log. */
+/** Interface of the replicated log, and of the state machine that it drives. */
 
 import type {Observable} from 'rxjs';
 import type {Command, CommandResult} from '../state/command';
@@ -7,46 +7,53 @@
 /** Role of this instance in the current term. */
 export type LogRole = 'leader' | 'follower' | 'candidate' | 'learner';
 
-/** A view of the log for status pages and polls. */
+/** Status of the log, for status pages and polls. */
 export interface LogStatus {
   readonly role: LogRole;
   readonly term: number;
   readonly leaderId?: string;
   readonly commitIndex: number;
   readonly lastIndex: number;
-  /** Whether this instance has a vote: false until a wiped one is whole. */
+  /**
+   * Whether this instance votes. A wiped one does only after it has caught up.
+   */
   readonly voter: boolean;
   readonly voterIds: readonly string[];
-  /** Random name of what stands on this instance's disk. */
+  /** Random id of the state on this instance's disk. */
   readonly incarnation: string;
-  /** The voting members; quorums count their incarnations. */
+  /** The voting members. Quorums count incarnations. */
   readonly voters: readonly Voter[];
 }
 
-/** Commands agreed on a quorum and synced there before any answer. */
+/**
+ * A log of commands. A command is committed once a quorum has synced it, and
+ * only then does its proposer get a result.
+ */
 export interface ReplicatedLog {
   /**
-   * Resolves with the state machine's result once committed and applied here.
-   * Rejects with PeerError `rejected` and the leader's id when this instance
-   * does not lead, or `lost` when leadership ended before the outcome was
-   * known.
+   * Resolves with the state machine's result once the command is committed and
+   * applied locally. Rejects with PeerError `rejected` and the leader's id if
+   * this instance is not the leader, or `lost` if its leadership ended before
+   * the outcome was known.
    */
   propose(command: Command): Promise<CommandResult>;
-  /** Resolves once everything committed before the call is applied here. */
+  /**
+   * Resolves once all entries committed before the call are applied locally.
+   */
   readBarrier(): Promise<void>;
   status(): LogStatus;
   readonly status$: Observable<LogStatus>;
-  /** Commands held in the log that are not known to be committed. */
+  /** Commands in the local log that are not known to be committed. */
   uncommitted(): readonly Command[];
-  /** Handles a peer's message; the answer goes back to that peer. */
+  /** Handles a peer's request and resolves with the reply to it. */
   receive(message: unknown): Promise<unknown>;
   close(): Promise<void>;
 }
 
-/** The deterministic state that the log drives. */
+/** The deterministic state machine to which the log applies commands. */
 export interface StateMachine {
   apply(command: Command, index: number): CommandResult;
-  /** The whole state, as one JSON string. */
+  /** Serializes the whole state to a JSON string. */
   snapshot(): string;
   restore(snapshot: string): void;
 }
--- a/src/control/log/replication.ts
+++ b/src/control/log/replication.ts
@@ -1,4 +1,4 @@
-/** The leader's side: sends entries and heartbeats, counts synced copies. */
+/** The leader's side of replication: appends, heartbeats and commits. */
 
 import type {CoreState, Leadership, PeerProgress} from './coreState';
 import type {EntryBody, LogEntry, Voter} from './entry';
@@ -7,23 +7,23 @@
 import {maybeReconfigure} from './membership';
 import {advanceCommit} from './commit';
 import {confirmReads} from './reads';
-import {address, follow} from './election';
+import {becomeFollower, requestHeader} from './election';
 import {entryChars} from './entrySize';
 
 type WireConfiguration = RequestOf<'snapshot'>['snapshot']['configuration'];
 
-/** Takes the lead: puts a noop in the log and tells everyone. */
-export function startLeading(state: CoreState): void {
+/** Becomes the leader and starts the term with a no-op entry. */
+export function becomeLeader(state: CoreState): void {
   const progress = new Map<string, PeerProgress>();
   for (const id of state.options.peerIds())
-    progress.set(id, freshProgress(state, voterOf(state, id)?.incarnation));
+    progress.set(id, newProgress(state, voterOf(state, id)?.incarnation));
   for (const {id} of state.voters)
     if (!progress.has(id) && id !== state.options.id)
-      progress.set(id, freshProgress(state, voterOf(state, id)?.incarnation));
+      progress.set(id, newProgress(state, voterOf(state, id)?.incarnation));
   state.leadership = {
     progress,
     noopIndex: state.log.lastIndex + 1,
-    heartbeatAt: state.now + state.options.timing.heartbeatMs,
+    nextHeartbeatAt: state.now + state.options.timing.heartbeatMs,
     round: 0,
     roundTickets: [],
     waitingTickets: [],
@@ -36,7 +36,7 @@
   return state.voters.find(voter => voter.id === id);
 }
 
-function freshProgress(
+function newProgress(
   state: CoreState,
   incarnation: string | undefined
 ): PeerProgress {
@@ -45,13 +45,15 @@
     nextIndex: state.log.lastIndex + 1,
     matchIndex: 0,
     inFlightSince: 0,
-    heardAt: state.now,
+    lastReplyAt: state.now,
     ackedSentAt: state.now,
     ackedRound: -1,
   };
 }
 
-/** Adds an entry of the present term and sends it out; returns its index. */
+/**
+ * Appends an entry in the current term, replicates it and returns its index.
+ */
 export function appendAsLeader(state: CoreState, body: EntryBody): number {
   const index = state.log.lastIndex + 1;
   state.append([{index, term: state.term, body}]);
@@ -71,8 +73,8 @@
 }
 
 /**
- * Sends what the peer lacks, one request at a time: what is proposed while
- * one is on its way goes out together in the next.
+ * Sends the peer the entries that it lacks, one request at a time. Entries
+ * proposed while a request is outstanding are sent together in the next one.
  */
 function replicate(state: CoreState, id: string): void {
   const progress = state.leadership?.progress.get(id);
@@ -80,7 +82,7 @@
   if (progress.inFlight !== undefined) return;
   const {lastIndex} = state.log;
   if (progress.matchIndex >= lastIndex) return;
-  // Of a newcomer nothing is known yet: the last entry finds out.
+  // The log of a new peer is unknown. Probe it with the last entry.
   progress.nextIndex = Math.min(progress.nextIndex, lastIndex);
   progress.inFlightSince = state.now;
   if (progress.nextIndex <= state.log.baseIndex) {
@@ -113,19 +115,21 @@
   return message.seq;
 }
 
-/** Entries after `prevIndex`: at least one, and no more than the limits. */
+/** The entries after `prevIndex` within the size limits, but at least one. */
 function nextBatch(state: CoreState, prevIndex: number): readonly LogEntry[] {
   const {batchEntries, batchChars} = state.options;
   const entries = state.log.slice(prevIndex + 1, batchEntries);
   let chars = 0;
-  const over = entries.findIndex(entry => {
+  const firstOver = entries.findIndex(entry => {
     chars += entryChars(entry);
     return chars > batchChars;
   });
-  return over < 0 ? entries : entries.slice(0, Math.max(1, over));
+  return firstOver < 0 ? entries : entries.slice(0, Math.max(1, firstOver));
 }
 
-/** Sends the next chunk; a snapshot once begun is sent to its end. */
+/**
+ * Sends the next chunk. A started transfer continues with the same snapshot.
+ */
 function sendSnapshot(
   state: CoreState,
   id: string,
@@ -151,7 +155,7 @@
 
 function leaderFields(state: CoreState, toIncarnation: string) {
   return {
-    ...address(state, toIncarnation),
+    ...requestHeader(state, toIncarnation),
     seq: ++state.requestSeq,
     round: state.leadership?.round ?? 0,
     sentAt: state.now,
@@ -159,25 +163,26 @@
 }
 
 /**
- * Tells everyone that this leader is here. A heartbeat rests on what is known
- * to match, so it is never refused and needs no wait for a large append.
+ * Sends a heartbeat to all peers. A heartbeat refers to an entry that is known
+ * to match, so it is never rejected for a mismatch and need not wait for an
+ * outstanding append.
  */
 export function sendHeartbeats(state: CoreState): void {
   const {leadership} = state;
   if (leadership === undefined) return;
-  leadership.heartbeatAt = state.now + state.options.timing.heartbeatMs;
-  takeInNewPeers(state, leadership);
+  leadership.nextHeartbeatAt = state.now + state.options.timing.heartbeatMs;
+  addNewPeers(state, leadership);
   for (const [id, progress] of leadership.progress) {
     if (progress.incarnation === undefined) sendHello(state, id);
     else sendHeartbeat(state, id, progress);
   }
 }
 
-/** Instances that became known since this one leads are to join too. */
-function takeInNewPeers(state: CoreState, leadership: Leadership): void {
+/** Starts to replicate to peers that became known after the election. */
+function addNewPeers(state: CoreState, leadership: Leadership): void {
   for (const id of state.options.peerIds())
     if (!leadership.progress.has(id) && id !== state.options.id)
-      leadership.progress.set(id, freshProgress(state, undefined));
+      leadership.progress.set(id, newProgress(state, undefined));
 }
 
 function sendHeartbeat(
@@ -185,11 +190,11 @@
   id: string,
   progress: PeerProgress
 ): void {
-  const known = progress.matchIndex >= state.log.baseIndex;
-  sendAppend(state, id, progress, known ? progress.matchIndex : 0, false);
+  const isRetained = progress.matchIndex >= state.log.baseIndex;
+  sendAppend(state, id, progress, isRetained ? progress.matchIndex : 0, false);
 }
 
-/** Asks who lives at an id. */
+/** Requests the current incarnation of a peer. */
 export function sendHello(state: CoreState, id: string, round = 0): void {
   state.emit({
     kind: 'send',
@@ -203,26 +208,26 @@
   });
 }
 
-/** Regular work of a leader. */
+/** Runs the leader's timers: quorum check, resends and heartbeats. */
 export function tickLeader(state: CoreState, leadership: Leadership): void {
-  if (!hearsQuorum(state, leadership)) {
-    follow(state, state.term, undefined);
+  if (!isQuorumActive(state, leadership)) {
+    becomeFollower(state, state.term, undefined);
     return;
   }
   for (const [id, progress] of leadership.progress) {
     const age = state.now - progress.inFlightSince;
     if (age >= state.options.timing.resendMs) progress.inFlight = undefined;
-    if (state.now >= leadership.heartbeatAt) replicate(state, id);
+    if (state.now >= leadership.nextHeartbeatAt) replicate(state, id);
   }
-  if (state.now >= leadership.heartbeatAt) sendHeartbeats(state);
+  if (state.now >= leadership.nextHeartbeatAt) sendHeartbeats(state);
 }
 
 /**
- * Whether a quorum answered messages sent within the last while. It counts
- * when a message was sent, not when its answer came: a paused leader finds
- * old answers waiting, which prove nothing about now.
+ * Whether a quorum has replied to messages sent within `checkQuorumMs`. The
+ * send time counts, not the arrival of the reply: after a pause a leader finds
+ * old replies waiting, which do not prove that it is still the leader.
  */
-function hearsQuorum(state: CoreState, leadership: Leadership): boolean {
+function isQuorumActive(state: CoreState, leadership: Leadership): boolean {
   const since = state.now - state.options.timing.checkQuorumMs;
   return state.hasQuorum(
     voter =>
@@ -231,7 +236,7 @@
   );
 }
 
-/** Progress of that very incarnation, if it is the one that lives there. */
+/** Progress of the voter's peer, if the peer still has the same incarnation. */
 export function progressOf(
   leadership: Leadership,
   voter: Voter
@@ -240,46 +245,46 @@
   return progress?.incarnation === voter.incarnation ? progress : undefined;
 }
 
-/** Takes in how far a peer is. */
+/** Handles a peer's reply to an append or snapshot. */
 export function onProgress(
   state: CoreState,
   from: string,
   message: ReplyOf<'progress'>
 ): void {
   if (message.term > state.term) {
-    follow(state, message.term, undefined);
+    becomeFollower(state, message.term, undefined);
     return;
   }
   const {leadership} = state;
   const progress = leadership?.progress.get(from);
   if (leadership === undefined || progress === undefined) return;
-  // An answer to an earlier term of ours would confirm a read round, or show a
-  // quorum, that was never asked for in this one.
+  // A reply to a request of an earlier term must neither confirm a read round
+  // nor count towards the quorum check of the current term.
   if (message.askedTerm !== state.term) return;
   if (message.asker !== state.incarnation) return;
   if (message.incarnation !== progress.incarnation) return;
-  progress.heardAt = state.now;
-  const answersInFlight = message.seq === progress.inFlight;
-  if (answersInFlight) progress.inFlight = undefined;
+  progress.lastReplyAt = state.now;
+  const isReplyToInFlight = message.seq === progress.inFlight;
+  if (isReplyToInFlight) progress.inFlight = undefined;
   progress.ackedSentAt = Math.max(progress.ackedSentAt, message.sentAt);
   progress.ackedRound = Math.max(progress.ackedRound, message.round);
-  if (answersInFlight) onChunkTaken(progress, message);
+  if (isReplyToInFlight) onChunkStored(progress, message);
   if (message.ok) onMatched(progress, message.matchIndex);
-  else if (answersInFlight) onMismatch(progress, message.hint);
+  else if (isReplyToInFlight) onMismatch(progress, message.hint);
   commitByQuorum(state, leadership);
   confirmReads(state);
   maybeReconfigure(state);
   replicate(state, from);
 }
 
-function onChunkTaken(
+function onChunkStored(
   progress: PeerProgress,
   message: ReplyOf<'progress'>
 ): void {
   if (progress.transfer === undefined || !message.ok) return;
   const {snapshot} = progress.transfer;
-  const isWhole = message.matchIndex >= snapshot.index;
-  progress.transfer = isWhole
+  const isComplete = message.matchIndex >= snapshot.index;
+  progress.transfer = isComplete
     ? undefined
     : {snapshot, offset: message.received};
 }
@@ -294,14 +299,16 @@
   progress.nextIndex = Math.max(progress.matchIndex + 1, next);
 }
 
-/** A request was lost; the next heartbeat tries again. */
+/**
+ * Handles a request without a reply; the next heartbeat tick sends it again.
+ */
 export function onSendFailed(state: CoreState, to: string, seq: number): void {
   const progress = state.leadership?.progress.get(to);
   if (progress?.inFlight === seq) progress.inFlight = undefined;
 }
 
-/** Another incarnation lives at the peer's id: start afresh with that one. */
-export function onStranger(
+/** Restarts replication to a peer that now has another incarnation. */
+export function onStrangerReply(
   state: CoreState,
   from: string,
   message: ReplyOf<'stranger'>
@@ -309,12 +316,12 @@
   const {leadership} = state;
   if (leadership?.progress.get(from)?.incarnation !== message.addressed) return;
   if (message.incarnation === message.addressed) return;
-  leadership.progress.set(from, freshProgress(state, message.incarnation));
+  leadership.progress.set(from, newProgress(state, message.incarnation));
   replicate(state, from);
 }
 
-/** A peer said who lives there. */
-export function onHelloForLeader(
+/** Stores the incarnation of a peer that replied to a hello. */
+export function onHelloReply(
   state: CoreState,
   from: string,
   message: ReplyOf<'hello'>
@@ -326,9 +333,9 @@
 }
 
 /**
- * Commits what a quorum holds synced. Only an entry of the present term may be
- * counted: an older one on a quorum can still be replaced by a leader that
- * never saw it.
+ * Commits up to the highest index that a quorum has synced. Only an entry of
+ * the current term may be committed by counting: an older one, even on a
+ * quorum, can still be replaced by a leader that never received it.
  */
 function commitByQuorum(state: CoreState, leadership: Leadership): void {
   const matches = state.voters
--- a/tests/logReplacement.spec.ts
+++ b/tests/logReplacement.spec.ts
@@ -5,8 +5,8 @@
 
 /** A leader whose peer c is silent, and what is to happen with it. */
 function leaderWith(keepVoters: number, peers: () => readonly string[]) {
-  const forget = {afterMs: AFTER_MS, keepVoters};
-  const options = {...OPTIONS, peerIds: peers, forget};
+  const voterEviction = {afterMs: AFTER_MS, keepVoters};
+  const options = {...OPTIONS, peerIds: peers, voterEviction};
   const log = new Driven(MEMBER, true, options);
   log.lead();
   log.matched('b/1', log.status.lastIndex);
