--- a/tests/drivenLog.ts
+++ b/tests/drivenLog.ts
@@ -1,4 +1,4 @@
-/** One core of the replicated log, driven by hand, and what it needs. */
+/** A Raft core that a test drives event by event, with its fixtures. */
 
 import type {
   CoreEffect,
@@ -20,17 +20,17 @@
   incarnation,
 }));
 export const CONFIGURATION = {voters: VOTERS};
-export const ENTRY_1: LogEntry = {
+export const FIRST_ENTRY: LogEntry = {
   index: 1,
   term: 1,
   body: {kind: 'configuration', configuration: CONFIGURATION},
 };
-export const noop = (index: number, term: number): LogEntry => ({
+export const noopEntry = (index: number, term: number): LogEntry => ({
   index,
   term,
   body: {kind: 'command', command: {kind: 'noop'}},
 });
-export const OPTIONS = {
+export const CORE_OPTIONS = {
   id: 'a',
   peerIds: () => ['b', 'c'],
   random: () => 0.5,
@@ -40,28 +40,30 @@
   chunkChars: 10_000,
   trailingEntries: 0,
 };
-const BASE = {index: 0, term: 0};
-export const EMPTY: DurableState = {
+const LOG_START = {index: 0, term: 0};
+export const EMPTY_STATE: DurableState = {
   hard: {incarnation: 'a/1', term: 0, mayFound: true},
-  base: BASE,
+  base: LOG_START,
   entries: [],
 };
-export const MEMBER: DurableState = {
+export const MEMBER_STATE: DurableState = {
   hard: {incarnation: 'a/1', term: 1, group: 'a/1', mayFound: true},
-  base: BASE,
-  entries: [ENTRY_1],
+  base: LOG_START,
+  entries: [FIRST_ENTRY],
 };
 
-/** Instance a of a, b and c, driven by hand; writes are synced at once. */
-export class Driven {
+/**
+ * The core of instance a in a group of a, b and c. Writes are synced at once.
+ */
+export class DrivenCore {
   now = 0;
   private readonly core: RaftCore;
   private ticket = 0;
 
   constructor(
     durable: DurableState,
-    private readonly syncs = true,
-    options: CoreOptions = OPTIONS
+    private readonly syncsAtOnce = true,
+    options: CoreOptions = CORE_OPTIONS
   ) {
     this.core = new RaftCore(options, durable, 0);
   }
@@ -73,7 +75,7 @@
   step(event: CoreEvent): readonly CoreEffect[] {
     const effects = this.core.step(event, this.now);
     const last = effects.findLast(effect => effect.kind === 'persist');
-    if (last?.kind !== 'persist' || !this.syncs) return effects;
+    if (last?.kind !== 'persist' || !this.syncsAtOnce) return effects;
     return [...effects, ...this.step({kind: 'synced', seq: last.seq})];
   }
 
@@ -90,7 +92,7 @@
     return this.step({kind: 'reply', from, message});
   }
 
-  grant(incarnation: string, preVote: boolean): readonly CoreEffect[] {
+  grantVote(incarnation: string, preVote: boolean): readonly CoreEffect[] {
     const {term} = this.status;
     return this.answer(incarnation.slice(0, 1), {
       kind: 'vote',
@@ -103,7 +105,7 @@
     });
   }
 
-  matched(
+  reportMatch(
     incarnation: string,
     matchIndex: number,
     change: Partial<ReplyOf<'progress'>> = {}
@@ -125,15 +127,15 @@
     });
   }
 
-  lead(): void {
+  becomeLeader(): void {
     this.after(electionMaxMs);
-    this.grant('b/1', true);
-    this.grant('b/1', false);
+    this.grantVote('b/1', true);
+    this.grantVote('b/1', false);
     expect(this.status.role).toBe('leader');
   }
 }
 
-export const sent = (
+export const sentRequests = (
   effects: readonly CoreEffect[],
   kind: CoreRequest['kind']
 ) =>
@@ -141,7 +143,7 @@
     effect => effect.kind === 'send' && effect.message.kind === kind
   );
 
-export const fromLeader = (change: object): CoreRequest =>
+export const appendFromLeader = (change: object): CoreRequest =>
   ({
     kind: 'append',
     from: 'b',
--- a/tests/logCluster.ts
+++ b/tests/logCluster.ts
@@ -1,4 +1,6 @@
-/** Instances of the replicated log in one process, linked by function calls. */
+/**
+ * Instances of the replicated log in one process, connected by function calls.
+ */
 
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -15,19 +17,19 @@
   StateMachine,
 } from '../src/control/log/replicatedLog';
 
-const quiet = (): undefined => undefined;
+const ignore = (): undefined => undefined;
 
-/** A logger that says nothing. */
+/** A logger that discards all lines. */
 export const SILENT = {
-  trace: quiet,
-  debug: quiet,
-  info: quiet,
-  warn: quiet,
-  error: quiet,
-  fatal: quiet,
+  trace: ignore,
+  debug: ignore,
+  info: ignore,
+  warn: ignore,
+  error: ignore,
+  fatal: ignore,
 } as unknown as Logger;
 
-/** Keeps every command; the result of a fence is its number. */
+/** Records the holder of every fence command; the fence counts them. */
 export class RecordingState implements StateMachine {
   holders: string[] = [];
 
@@ -46,27 +48,27 @@
   }
 }
 
-export const fence = (holder: string): Command => ({
+export const fenceCommand = (holder: string): Command => ({
   kind: 'fence',
   group: 'ranks',
   holder,
 });
 
-interface Running {
+interface RunningInstance {
   readonly log: ReplicatedLog;
   readonly state: RecordingState;
 }
 
-/** Starts, stops, cuts and wipes instances. */
+/** Starts, stops, partitions and wipes instances. */
 export class LogCluster {
   readonly root = mkdtempSync(path.join(tmpdir(), 'marlpulley-log-'));
-  readonly running = new Map<string, Running>();
+  readonly running = new Map<string, RunningInstance>();
   readonly fatal: unknown[] = [];
-  /** Directed links that lose everything: `from>to`. */
-  readonly cuts = new Set<string>();
-  /** Instances that never answer, as if stopped. */
+  /** Directed links that lose all messages, as `from>to`. */
+  readonly cutLinks = new Set<string>();
+  /** Instances that never reply, although messages reach them. */
   readonly silent = new Set<string>();
-  /** In place of the real disk, by instance. */
+  /** Replacements for the real disk, by instance id. */
   readonly storages = new Map<string, LogStorage>();
 
   constructor(
@@ -99,14 +101,17 @@
     rmSync(this.dataDir(id), {recursive: true, force: true});
   }
 
-  at(id: string): Running {
+  at(id: string): RunningInstance {
     const one = this.running.get(id);
-    if (one === undefined) throw new Error(`${id} does not run`);
+    if (one === undefined) throw new Error(`instance ${id} is not running`);
     return one;
   }
 
-  /** Resolves with the first status of `id` that passes. */
-  async until(id: string, test: (status: LogStatus) => boolean): Promise<void> {
+  /** Resolves once the status of `id` passes `test`. */
+  async untilStatus(
+    id: string,
+    test: (status: LogStatus) => boolean
+  ): Promise<void> {
     const {log} = this.at(id);
     await new Promise<void>(resolve => {
       const watch = log.status$.subscribe(status => {
@@ -117,35 +122,37 @@
     });
   }
 
-  /** Cuts all links from or to an instance. */
-  cut(id: string, direction: 'from' | 'to'): void {
+  /** Cuts all links from or all links to an instance. */
+  cutOff(id: string, direction: 'from' | 'to'): void {
     for (const other of this.ids)
-      this.cuts.add(direction === 'from' ? `${id}>${other}` : `${other}>${id}`);
+      this.cutLinks.add(
+        direction === 'from' ? `${id}>${other}` : `${other}>${id}`
+      );
   }
 
-  /** Resolves once every instance votes under its own incarnation. */
+  /** Resolves once every instance is a voter with its current incarnation. */
   async whole(): Promise<void> {
-    for (const id of this.ids) await this.until(id, ({voter}) => voter);
+    for (const id of this.ids) await this.untilStatus(id, ({voter}) => voter);
   }
 
-  /** Proposes at whoever leads, again after each refusal. */
+  /** Proposes at the leader, and retries after a NotLeaderError. */
   async commit(holder: string): Promise<CommandResult> {
     for (;;) {
       const leader = await this.leader();
       try {
-        return await this.at(leader).log.propose(fence(holder));
+        return await this.at(leader).log.propose(fenceCommand(holder));
       } catch (err) {
         if (!(err instanceof Error) || err.name !== 'NotLeaderError') throw err;
       }
     }
   }
 
-  /** Resolves with the id of an instance that leads. */
+  /** Resolves with the id of an instance that considers itself the leader. */
   async leader(): Promise<string> {
     const ids = [...this.running.keys()];
     return Promise.race(
       ids.map(async id => {
-        await this.until(id, ({role}) => role === 'leader');
+        await this.untilStatus(id, ({role}) => role === 'leader');
         return id;
       })
     );
@@ -169,18 +176,18 @@
   }
 
   private link(from: string, to: string): LogPeer {
-    const lost = (a: string, b: string): boolean =>
-      this.cuts.has(`${a}>${b}`) ||
+    const isLost = (a: string, b: string): boolean =>
+      this.cutLinks.has(`${a}>${b}`) ||
       !this.running.has(a) ||
       !this.running.has(b);
     return {
       id: to,
       send: async message => {
-        if (lost(from, to)) throw new Error('lost');
+        if (isLost(from, to)) throw new Error(`request ${from}>${to} lost`);
         if (this.silent.has(to)) return new Promise(() => undefined);
         const sent = JSON.parse(JSON.stringify(message));
         const answer = await this.at(to).log.receive(sent);
-        if (lost(to, from)) throw new Error('lost');
+        if (isLost(to, from)) throw new Error(`reply ${to}>${from} lost`);
         return JSON.parse(JSON.stringify(answer));
       },
     };
--- a/tests/logModel.spec.ts
+++ b/tests/logModel.spec.ts
@@ -4,13 +4,14 @@
 const SCHEDULES = 150;
 
 describe('replicated log under seeded schedules', () => {
-  it('should keep its promises, and heal, whatever fails', () => {
+  it('should keep its promises, and recover, whatever fails', () => {
     const histories = Array.from({length: SCHEDULES}, (_, seed) =>
       runLogSchedule(seed + 1)
     );
-    const sum = (of: (history: LogHistory) => number): number =>
-      histories.reduce((total, history) => total + of(history), 0);
-    // A model in which nothing happens would hold any promise.
+    const sum = (countOf: (history: LogHistory) => number): number =>
+      histories.reduce((total, history) => total + countOf(history), 0);
+    // Schedules in which nothing happens would pass every check, so require
+    // that enough happened.
     expect(sum(history => history.acceptedCount)).toBeGreaterThan(10_000);
     expect(sum(history => history.barrierCount)).toBeGreaterThan(5000);
     expect(sum(history => history.electedCount)).toBeGreaterThan(400);
--- a/tests/logReplacement.spec.ts
+++ b/tests/logReplacement.spec.ts
@@ -1,81 +1,89 @@
-import {Driven, EMPTY, MEMBER, OPTIONS, sent} from './drivenLog';
+import {
+  CORE_OPTIONS,
+  DrivenCore,
+  EMPTY_STATE,
+  MEMBER_STATE,
+  sentRequests,
+} from './drivenLog';
 
-const AFTER_MS = 8_000;
+const EVICTION_MS = 8_000;
 const STEP_MS = 200;
 
-/** A leader whose peer c is silent, and what is to happen with it. */
-function leaderWith(keepVoters: number, peers: () => readonly string[]) {
-  const voterEviction = {afterMs: AFTER_MS, keepVoters};
-  const options = {...OPTIONS, peerIds: peers, voterEviction};
-  const log = new Driven(MEMBER, true, options);
-  log.lead();
-  log.matched('b/1', log.status.lastIndex);
+/** Makes a the leader, with voter eviction. Only b has replied so far. */
+function startLeader(keepVoters: number, peers: () => readonly string[]) {
+  const voterEviction = {afterMs: EVICTION_MS, keepVoters};
+  const options = {...CORE_OPTIONS, peerIds: peers, voterEviction};
+  const log = new DrivenCore(MEMBER_STATE, true, options);
+  log.becomeLeader();
+  log.reportMatch('b/1', log.status.lastIndex);
   return log;
 }
 
-/** Time passes, in which these answer and c does not. */
-function wait(log: Driven, ms: number, answering = ['b/1']): void {
-  for (let past = 0; past < ms; past += STEP_MS) {
+/** Advances the time while only the given incarnations reply. */
+function advance(log: DrivenCore, ms: number, repliers = ['b/1']): void {
+  for (let elapsed = 0; elapsed < ms; elapsed += STEP_MS) {
     log.after(STEP_MS);
-    for (const one of answering) log.matched(one, log.status.lastIndex);
+    for (const incarnation of repliers)
+      log.reportMatch(incarnation, log.status.lastIndex);
   }
 }
 
 describe('instances that are replaced at another address', () => {
-  // A machine is gone for good, and an empty one comes elsewhere. Left among
-  // the voters, the old one would count as a loss for ever: the next loss, which
-  // the deployment says it bears, would stop all changes.
-  it('should drop a voter that fell silent once enough remain', () => {
-    const log = leaderWith(2, () => ['b', 'c']);
-    wait(log, AFTER_MS + 2 * STEP_MS);
+  // A machine is replaced by an empty one at another address. If the old one
+  // remained a voter, it would count as a failure forever, and the next
+  // failure, which the deployment should tolerate, would stop all changes.
+  it('should remove a silent voter if enough remain', () => {
+    const log = startLeader(2, () => ['b', 'c']);
+    advance(log, EVICTION_MS + 2 * STEP_MS);
     expect(log.status.voterIds).toEqual(['a', 'b']);
   });
 
-  it('should keep it while too few would remain', () => {
-    const log = leaderWith(3, () => ['b', 'c']);
-    wait(log, 3 * AFTER_MS);
+  it('should keep a silent voter if too few would remain', () => {
+    const log = startLeader(3, () => ['b', 'c']);
+    advance(log, 3 * EVICTION_MS);
     expect(log.status.voterIds).toEqual(['a', 'b', 'c']);
   });
 
-  it('should keep a voter that was away for a shorter time', () => {
-    const log = leaderWith(2, () => ['b', 'c']);
-    wait(log, AFTER_MS - 2 * STEP_MS);
-    log.matched('c/1', 1);
-    wait(log, AFTER_MS - 2 * STEP_MS);
+  it('should keep a voter that was silent for a shorter time', () => {
+    const log = startLeader(2, () => ['b', 'c']);
+    advance(log, EVICTION_MS - 2 * STEP_MS);
+    log.reportMatch('c/1', 1);
+    advance(log, EVICTION_MS - 2 * STEP_MS);
     expect(log.status.voterIds).toEqual(['a', 'b', 'c']);
   });
 
-  // The newcomer tells any node of itself. It gets a vote only when it holds
-  // what was accepted, and only then the silent one goes.
-  it('should let a newcomer vote once it has caught up', () => {
+  // A new instance becomes a voter only once it holds all committed entries,
+  // and only then the silent voter is removed.
+  it('should make a new instance a voter once it has caught up', () => {
     const peers = ['b', 'c'];
-    const log = leaderWith(3, () => peers);
+    const log = startLeader(3, () => peers);
     peers.push('d');
     const effects = log.after(STEP_MS);
-    expect(sent(effects, 'hello')).toHaveLength(1);
+    expect(sentRequests(effects, 'hello')).toHaveLength(1);
     log.answer('d', {
       kind: 'hello',
       incarnation: 'd/1',
       round: 0,
       empty: true,
     });
-    log.matched('d/1', 0);
+    log.reportMatch('d/1', 0);
     expect(log.status.voterIds).toEqual(['a', 'b', 'c']);
-    log.matched('d/1', log.status.lastIndex);
-    log.matched('b/1', log.status.lastIndex);
-    log.matched('d/1', log.status.lastIndex);
+    log.reportMatch('d/1', log.status.lastIndex);
+    log.reportMatch('b/1', log.status.lastIndex);
+    log.reportMatch('d/1', log.status.lastIndex);
     expect(log.status.voterIds).toEqual(['a', 'b', 'c', 'd']);
-    wait(log, AFTER_MS + 2 * STEP_MS, ['b/1', 'd/1']);
+    advance(log, EVICTION_MS + 2 * STEP_MS, ['b/1', 'd/1']);
     expect(log.status.voterIds).toEqual(['a', 'b', 'd']);
   });
 
-  // An instance that is no founder starts with an empty disk at the same time
-  // as those that are. A group of its own would accept changes beside theirs.
-  it('should not found a group where others are told to', () => {
-    const options = {...OPTIONS, id: 'a', founders: ['b', 'c']};
-    const log = new Driven(EMPTY, true, options);
+  // An instance that is not a founder starts with an empty disk at the same
+  // time as the founders. A group of its own would accept changes
+  // independently.
+  it('should not found a group when it is not among the founders', () => {
+    const options = {...CORE_OPTIONS, id: 'a', founders: ['b', 'c']};
+    const log = new DrivenCore(EMPTY_STATE, true, options);
     const effects = log.after(5_000);
-    expect(sent(effects, 'hello')).toHaveLength(0);
+    expect(sentRequests(effects, 'hello')).toHaveLength(0);
     expect(log.status.lastIndex).toBe(0);
   });
 });
--- a/tests/logStorage.spec.ts
+++ b/tests/logStorage.spec.ts
@@ -85,17 +85,18 @@
     });
   });
 
-  // The machine loses power while a record is being written. Its proposer was
-  // never told "accepted", so the record goes, and the log goes on before it.
+  // Power is lost while a record is being written. The record was never
+  // acknowledged, so it is dropped and the log continues before it.
   it('should drop a record that was cut off, at any byte, and go on', async () => {
     await write([{kind: 'hardState', hard: HARD}, append(1, 2)]);
     const [file = ''] = segments();
-    const whole = readFileSync(file).length;
+    const firstBytes = readFileSync(file).length;
     await write([append(3)]);
-    // The last start began another segment, so the record to cut is there.
+    // Each start begins a new segment, so the record to truncate is in the
+    // last.
     const last = segments().at(-1) ?? '';
     const bytes = readFileSync(last).length;
-    expect(whole).toBeGreaterThan(0);
+    expect(firstBytes).toBeGreaterThan(0);
     for (let cut = bytes - 1; cut >= 0; cut -= 7) {
       truncateSync(last, cut);
       expect(await loadedIndexes()).toEqual([1, 2]);
@@ -104,8 +105,8 @@
     expect(await loadedIndexes()).toEqual([1, 2, 3, 4]);
   });
 
-  // A bit flips on the disk in something that was acknowledged. Starting over
-  // it would take away accepted changes with no word; any flip is noticed.
+  // A bit flips in acknowledged data on the disk. If it went undetected,
+  // accepted changes would be lost silently, so every flip must be reported.
   it('should report every flipped bit as damage', async () => {
     const snapshot = {
       index: 1,
@@ -190,9 +191,9 @@
     expect(Math.max(...counts)).toBe(1);
   });
 
-  // A sync fails: the kernel may drop the pages and call the next sync fine,
-  // so a second try would acknowledge what is not there. A full disk is the
-  // same to us: nothing more is written, and the process is told to stop.
+  // After a failed sync the kernel may drop the dirty pages and report success
+  // for the next sync, so a retry would acknowledge data that is not on the
+  // disk. A full disk is handled in the same way: nothing more is written.
   it.each(['append', 'sync', 'rename', 'syncDir'] as const)(
     'should never try again after a failed %s',
     async failing => {
@@ -205,54 +206,56 @@
       const batch: LogWrite[] = [{kind: 'hardState', hard: HARD}, append(1)];
       await expect(storage.write(batch)).rejects.toBeInstanceOf(StorageError);
       files.setFault(() => undefined);
-      const tried = files.done.length;
+      const operationCount = files.done.length;
       await expect(storage.write(batch)).rejects.toBeInstanceOf(StorageError);
-      expect(files.done).toHaveLength(tried);
+      expect(files.done).toHaveLength(operationCount);
     }
   );
 
-  // Power goes at any moment, with names and bytes lost that were not synced.
-  // Whatever was acknowledged before is there afterwards, and nothing reads as
-  // damage: a restart after a plain power cut needs no repair by peers.
-  it('should keep all that was acknowledged when power goes at any moment', async () => {
-    for (let seed = 1; seed <= 400; seed++) await crashOnce(seed);
+  // Power is lost at any moment, along with unsynced file names and data.
+  // Everything acknowledged before must be there afterwards, and nothing may be
+  // reported as damaged: a plain power loss must not require repair by peers.
+  it('should keep all that was acknowledged when power is lost at any moment', async () => {
+    for (let seed = 1; seed <= 400; seed++) await crashRepeatedly(seed);
   });
 });
 
-/** Four lives on one disk, each ended by a power cut at some operation. */
-async function crashOnce(seed: number): Promise<void> {
+/** Four boots on one disk, each ended by a power loss at a random operation. */
+async function crashRepeatedly(seed: number): Promise<void> {
   const random = new SeededRandom(seed);
   const files = new MemoryFiles();
   let acknowledged: DurableState | undefined;
-  let unanswered: readonly LogWrite[] = [];
-  for (let life = 0; life < 4; life++) {
+  let unacknowledged: readonly LogWrite[] = [];
+  for (let boot = 0; boot < 4; boot++) {
     const storage = new DiskStorage(files, '/data', random.pick([200, 2000]));
     const loaded = await storage.load();
     if (loaded.kind === 'damaged')
-      throw new Error(`seed ${seed}, life ${life}: ${loaded.detail}`);
+      throw new Error(`seed ${seed}, boot ${boot}: ${loaded.detail}`);
     const found = loaded.kind === 'state' ? loaded.state : undefined;
-    const possible = statesAfter(acknowledged, unanswered).map(logOf);
-    expect(possible).toContainEqual(logOf(found));
+    const possible = possibleStates(acknowledged, unacknowledged).map(
+      comparableState
+    );
+    expect(possible).toContainEqual(comparableState(found));
     acknowledged = found;
     const crashAt = files.done.length + random.int(1, 60);
     files.setFault(() => {
-      if (files.done.length >= crashAt) throw new Error('power is gone');
+      if (files.done.length >= crashAt) throw new Error('power lost');
     });
     for (;;) {
-      unanswered = randomWrites(random, acknowledged);
+      unacknowledged = randomWrites(random, acknowledged);
       try {
-        await storage.write(unanswered);
+        await storage.write(unacknowledged);
       } catch {
         break;
       }
-      acknowledged = statesAfter(acknowledged, unanswered).at(-1);
+      acknowledged = possibleStates(acknowledged, unacknowledged).at(-1);
     }
     files.crash(random);
   }
 }
 
-/** The state before the writes, and after each of them. */
-function statesAfter(
+/** The state before the writes and after each of them. */
+function possibleStates(
   from: DurableState | undefined,
   writes: readonly LogWrite[]
 ): readonly (DurableState | undefined)[] {
@@ -261,8 +264,11 @@
   return states;
 }
 
-/** What must be the same after a crash; entries before a snapshot may stay. */
-function logOf(state: DurableState | undefined) {
+/**
+ * The part of the state that must be equal after a crash. Entries before a
+ * snapshot may or may not remain, so they are left out.
+ */
+function comparableState(state: DurableState | undefined) {
   if (state === undefined) return undefined;
   const {hard, snapshot, entries} = state;
   const from = snapshot?.index ?? 0;
@@ -282,8 +288,8 @@
     return [{kind: 'hardState', hard: {...state.hard, term: term + 1}}];
   if (choice === 1 && last > snapshotIndex) {
     const index = random.int(snapshotIndex + 1, last);
-    const at = state.entries[index - state.base.index - 1];
-    const position = {index, term: at?.term ?? 0};
+    const snapshotEntry = state.entries[index - state.base.index - 1];
+    const position = {index, term: snapshotEntry?.term ?? 0};
     const snapshot = {...position, configuration: CONFIGURATION, data: 's'};
     return [{kind: 'snapshot', snapshot, keepAfter: position, resetLog: false}];
   }
--- a/tests/replicatedLog.spec.ts
+++ b/tests/replicatedLog.spec.ts
@@ -1,9 +1,9 @@
 import type {Command} from '../src/control/state/command';
 import {NotLeaderError} from '../src/control/log/notLeaderError';
-import {fence, LogCluster} from './logCluster';
+import {fenceCommand, LogCluster} from './logCluster';
 
 const KEY = {customer: 'harbour', key: 'k'};
-const ONE_OF_EACH: readonly Command[] = [
+const COMMAND_OF_EACH_KIND: readonly Command[] = [
   {kind: 'submit', revision: 1, digest: 'd', text: '', submittedBy: 'Aoife'},
   {
     ...KEY,
@@ -16,7 +16,7 @@
     atMs: 1,
   },
   {...KEY, kind: 'settle', attempt: 1, settlement: {kind: 'unknown'}},
-  fence('control-1'),
+  fenceCommand('control-1'),
   {
     kind: 'mapDecision',
     group: 'g',
@@ -34,7 +34,7 @@
 describe('replicated log', () => {
   let cluster: LogCluster;
 
-  const use = async (ids: readonly string[]): Promise<void> => {
+  const startCluster = async (ids: readonly string[]): Promise<void> => {
     cluster = new LogCluster(ids);
     await cluster.start(...ids);
   };
@@ -47,7 +47,7 @@
   it.each([[['control-1']], [THREE], [[...THREE, 'control-4', 'control-5']]])(
     'should elect a leader and commit with the settings %j',
     async ids => {
-      await use(ids);
+      await startCluster(ids);
       expect(await cluster.commit('first')).toEqual({
         command: 'fence',
         result: {fence: 1},
@@ -57,24 +57,24 @@
     }
   );
 
-  // Operators see every submission time out, for good. One command of a kind
-  // that followers do not know is proposed; they refuse its entry each time it
-  // is sent, and nothing behind it can be committed any more.
+  // If followers rejected an entry because they do not know the kind of its
+  // command, neither that entry nor any later one could ever be committed, and
+  // every submission would time out.
   it('should commit a command of every kind', async () => {
-    await use(THREE);
+    await startCluster(THREE);
     const {log} = cluster.at(await cluster.leader());
-    for (const command of ONE_OF_EACH) {
+    for (const command of COMMAND_OF_EACH_KIND) {
       const done = log.propose(command).then(() => command.kind);
       await expect(done).resolves.toBe(command.kind);
     }
   });
 
   it('should name the leader when another instance is asked', async () => {
-    await use(THREE);
+    await startCluster(THREE);
     const leader = await cluster.leader();
     const other = THREE.find(id => id !== leader) ?? '';
-    await cluster.until(other, ({leaderId}) => leaderId === leader);
-    const refused = cluster.at(other).log.propose(fence('other'));
+    await cluster.untilStatus(other, ({leaderId}) => leaderId === leader);
+    const refused = cluster.at(other).log.propose(fenceCommand('other'));
     await expect(refused).rejects.toBeInstanceOf(NotLeaderError);
     await expect(refused).rejects.toMatchObject({
       leaderId: leader,
@@ -82,24 +82,24 @@
     });
   });
 
-  it('should show every earlier commit behind a read barrier, at any instance', async () => {
-    await use(THREE);
+  it('should show every earlier commit after a read barrier, at any instance', async () => {
+    await startCluster(THREE);
     await cluster.commit('first');
     for (const id of THREE) {
       const {log, state} = cluster.at(id);
       const leader = await cluster.leader();
-      await cluster.until(id, ({leaderId}) => leaderId === leader);
+      await cluster.untilStatus(id, ({leaderId}) => leaderId === leader);
       await log.readBarrier();
       expect(state.holders).toEqual(['first']);
     }
   });
 
   it('should commit proposals made at once in the order they were made', async () => {
-    await use(THREE);
+    await startCluster(THREE);
     const {log} = cluster.at(await cluster.leader());
     const names = Array.from({length: 300}, (_, i) => `holder-${i}`);
     const results = await Promise.all(
-      names.map(name => log.propose(fence(name)))
+      names.map(name => log.propose(fenceCommand(name)))
     );
     expect(results).toEqual(
       names.map((_, i) => ({command: 'fence', result: {fence: i + 1}}))
@@ -107,7 +107,7 @@
   });
 
   it('should keep what was accepted when all instances restart', async () => {
-    await use(THREE);
+    await startCluster(THREE);
     await cluster.commit('first');
     await cluster.stop(...THREE);
     await cluster.start(...THREE);
@@ -117,7 +117,7 @@
   });
 
   it('should elect another leader when the leader is gone', async () => {
-    await use(THREE);
+    await startCluster(THREE);
     await cluster.commit('first');
     await cluster.stop(await cluster.leader());
     await cluster.commit('second');
