--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -6,28 +6,28 @@
 import type {CallerResume, ChatRequest} from './chat/chatRequest';
 import type {PoolLimit, RuleIndex} from '../rules/ruleIndex';
 
-/** As received. */
+/** A request as received. */
 export interface ReceivedCall {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly requestId: string;
-  /** Rules in force when it came; the same for the whole call. */
+  /** Rules that were active when it arrived; they apply to the whole call. */
   readonly rules: RuleIndex;
 }
 
-/** With its customer known. */
+/** A request whose customer is known. */
 export interface IdentifiedCall extends ReceivedCall {
   readonly customer: string;
 }
 
-/** Body that was read ahead, or is still on its way. */
+/** A request body, either read completely or still arriving. */
 export type CallBody =
   | {readonly kind: 'none'}
   | {readonly kind: 'buffered'; readonly bytes: Buffer}
-  /** Passed on as it comes: it can be sent once only. */
+  /** Forwarded while it arrives, so it can be sent only once. */
   | {readonly kind: 'streaming'};
 
-/** With its pool, cost and kind known. */
+/** A request whose pool, limits, deadline and kind are known. */
 export interface ClassifiedCall extends IdentifiedCall {
   readonly progress: Progress;
   readonly pool: string;
@@ -37,18 +37,20 @@
   readonly once: OnceRule | undefined;
   /** Present for chat completions. */
   readonly chat: ChatRequest | undefined;
-  /** Where a caller's own stream goes on. */
+  /** Present when the caller resumes a stream of its own. */
   readonly resume: CallerResume | undefined;
   readonly priority: number;
 }
 
-/** One step of the chain: passes on an enriched call, or throws a refusal. */
+/** One step of the chain: calls `next` with an enriched call, or refuses. */
 export type Filter<I, O> = (
   call: I,
   next: (call: O) => Promise<void>
 ) => Promise<void>;
 
-/** Runs `second` on what `first` passes on. */
+/**
+ * Combines two filters: `second` gets the call that `first` passes to `next`.
+ */
 export function chain<A, B, C>(
   first: Filter<A, B>,
   second: Filter<B, C>
--- a/src/entry/chat/chatRequest.ts
+++ b/src/entry/chat/chatRequest.ts
@@ -1,4 +1,4 @@
-/** What the entry needs to know of a chat completion request. */
+/** Parses what the entry uses of a chat completion request. */
 
 import * as z from 'zod';
 import {
@@ -9,23 +9,23 @@
 import {refuse} from '../../core/refusal';
 
 const CHAT_PATH = '/v1/chat/completions';
-/** Output expected of a request that names no maximum, in tokens. */
+/** Expected output of a request without a maximum, in tokens. */
 const DEFAULT_OUTPUT_TOKENS = 256;
 const MAX_OUTPUT_TOKENS = 1_000_000;
 
 const TEXT_PART = z.looseObject({text: z.string().optional()});
-const MESSAGE = z.looseObject({
+const MESSAGE_SCHEMA = z.looseObject({
   role: z.string(),
   content: z.union([z.string(), z.array(TEXT_PART), z.null()]).optional(),
 });
-const TOKENS = z.number().int().positive().max(MAX_OUTPUT_TOKENS);
-/** Fields that are not known here are the engine's business. */
-const CHAT = z.looseObject({
+const TOKEN_COUNT = z.number().int().positive().max(MAX_OUTPUT_TOKENS);
+/** Unknown fields are accepted; the engine validates them. */
+const CHAT_REQUEST = z.looseObject({
   model: z.string().optional(),
-  messages: z.array(MESSAGE).min(1),
+  messages: z.array(MESSAGE_SCHEMA).min(1),
   stream: z.boolean().nullish(),
-  max_tokens: TOKENS.nullish(),
-  max_completion_tokens: TOKENS.nullish(),
+  max_tokens: TOKEN_COUNT.nullish(),
+  max_completion_tokens: TOKEN_COUNT.nullish(),
 });
 
 /** A parsed request. */
@@ -34,20 +34,22 @@
   readonly model?: string;
   /** Estimated. */
   readonly promptTokens: number;
-  /** Most tokens that may come out, or a usual number when not named. */
+  /**
+   * Maximum number of output tokens, or a default when the request has none.
+   */
   readonly outputTokens: number;
-  /** Digests of leading blocks, shortest prefix first. */
+  /** Digests of the prompt's prefixes in whole blocks, shortest first. */
   readonly prefixes: readonly string[];
 }
 
-/** Whether a request is a chat completion at all. */
+/** Whether a request is a chat completion. */
 export function isChatCompletion(method: string, path: string): boolean {
   return method === 'POST' && path.split('?')[0] === CHAT_PATH;
 }
 
 /** Parses a body; throws the refusal `malformed-request`. */
 export function parseChatRequest(body: Buffer, processId: string): ChatRequest {
-  const parsed = CHAT.safeParse(parseJson(body, processId));
+  const parsed = CHAT_REQUEST.safeParse(parseJson(body, processId));
   if (!parsed.success)
     throw malformed(processId, z.prettifyError(parsed.error));
   const chat = parsed.data;
@@ -62,18 +64,19 @@
   };
 }
 
-/** Where a caller's own stream goes on. */
+/** Where a caller resumes a stream of its own. */
 export interface CallerResume {
-  /** Tokens that the caller has. */
+  /** Number of tokens that the caller already has. */
   readonly fromToken: number;
-  /** `system_fingerprint` of the stream that it goes on from. */
+  /** `system_fingerprint` of the stream that it resumes. */
   readonly modelVersion: string;
 }
 
 /**
- * Reads Last-Event-ID with marlpulley-model-version; undefined without the
- * first. Without the version the rest could come from another model and not
- * fit what the caller has, so it is refused.
+ * Parses Last-Event-ID and marlpulley-model-version; undefined without the
+ * first. Throws `malformed-request` when only the version is missing: the rest
+ * of the stream could then come from another model and not fit what the caller
+ * has.
  */
 export function parseCallerResume(
   lastEventId: string | undefined,
@@ -89,12 +92,12 @@
   return {fromToken: last + 1, modelVersion};
 }
 
-/** The index of a token from an event's id; undefined when it is none. */
+/** Parses an event id as the index of a token; undefined when it is not one. */
 export function tokenIndex(id: string): number | undefined {
   return /^\d{1,9}$/.test(id) ? Number(id) : undefined;
 }
 
-function promptMessage(message: z.infer<typeof MESSAGE>): PromptMessage {
+function promptMessage(message: z.infer<typeof MESSAGE_SCHEMA>): PromptMessage {
   const {role, content} = message;
   if (typeof content === 'string') return {role, text: content};
   const parts = content ?? [];
--- a/src/entry/countTokens.ts
+++ b/src/entry/countTokens.ts
@@ -1,9 +1,9 @@
-/** Counts tokens that a customer got, for charging. */
+/** Counts output tokens delivered to a customer, for billing. */
 
 import type {ClassifiedCall} from './call';
 import type {EntryCore} from './entryCore';
 
-/** Adds to the counters and to the use reported to control. */
+/** Adds to the metric and to the usage reported to control. */
 export function countTokens(
   core: EntryCore,
   {customer}: ClassifiedCall,
--- a/src/entry/filters/identify.ts
+++ b/src/entry/filters/identify.ts
@@ -1,4 +1,4 @@
-/** Finds out for whom a request is made. */
+/** Identifies the customer of a request. */
 
 import {refuse} from '../../core/refusal';
 import type {CustomerKeys} from '../../settings/settings';
@@ -6,7 +6,7 @@
 
 const BEARER = /^Bearer +(.+)$/i;
 
-/** How customers are told apart. */
+/** How a request names its customer. */
 export interface IdentifyOptions {
   readonly entryId: string;
   /** Header that names the customer, when no keys are set. */
@@ -14,7 +14,7 @@
   readonly customerKeys: CustomerKeys;
 }
 
-/** Refuses callers that name no customer of the rules. */
+/** Refuses requests that name no customer, or one that is not in the rules. */
 export function identify(
   options: IdentifyOptions
 ): Filter<ReceivedCall, IdentifiedCall> {
--- a/src/entry/filters/requireKey.ts
+++ b/src/entry/filters/requireKey.ts
@@ -1,4 +1,4 @@
-/** The idempotency key of a call that is not idempotent. */
+/** Reads the idempotency key of a call that is not idempotent. */
 
 import {refuse} from '../../core/refusal';
 import type {ClassifiedCall} from '../call';
@@ -6,7 +6,7 @@
 const KEY_HEADER = 'idempotency-key';
 const MAX_KEY_LENGTH = 200;
 
-/** Undefined for calls that are idempotent, and where the rule lets it miss. */
+/** Undefined for idempotent calls, and for a missing key that is optional. */
 export function requireKey(
   entryId: string,
   {req, once}: ClassifiedCall
--- a/src/entry/serveCall.ts
+++ b/src/entry/serveCall.ts
@@ -1,4 +1,4 @@
-/** Serves calls that may be repeated, and those without a key. */
+/** Serves idempotent calls, and non-idempotent calls without a key. */
 
 import {Attempts} from './attempts';
 import type {ClassifiedCall} from './call';
@@ -6,7 +6,7 @@
 import {isEventStream, relayChat} from './relayChat';
 import {relayPlain} from './relayPlain';
 
-/** Resolves once the answer has ended; rejects with RefusalError before it. */
+/** Resolves once the response has ended; rejects if it was never begun. */
 export async function serveCall(
   core: EntryCore,
   call: ClassifiedCall
@@ -24,7 +24,7 @@
   await relay(core, call, attempts, answered);
 }
 
-/** Cancels the attempts when the deadline passes or the caller goes away. */
+/** Cancels the attempts when the deadline passes or the caller disconnects. */
 export async function withDeadline<T>(
   call: ClassifiedCall,
   work: () => Promise<T>
--- a/tests/chatRequest.spec.ts
+++ b/tests/chatRequest.spec.ts
@@ -11,7 +11,7 @@
   parseChatRequest(Buffer.from(JSON.stringify(body)), 'entry-1');
 
 describe('chat requests', () => {
-  it('should read what it needs and let unknown fields be', () => {
+  it('should read the fields it needs and accept unknown ones', () => {
     const chat = parse({
       model: 'planner',
       stream: true,
@@ -36,26 +36,29 @@
   it.each([
     ['no messages', {messages: []}],
     ['a message without a role', {messages: [{content: 'x'}]}],
-    ['a stream flag that is none', {messages: [{role: 'u'}], stream: 'yes'}],
-    ['no tokens wanted', {messages: [{role: 'u'}], max_tokens: 0}],
+    [
+      'a stream flag that is no boolean',
+      {messages: [{role: 'u'}], stream: 'yes'},
+    ],
+    ['a maximum of no tokens', {messages: [{role: 'u'}], max_tokens: 0}],
     ['a list', []],
   ])('should refuse %s', (_name, body) => {
     expect(() => parse(body)).toThrow('malformed-request at classify');
   });
 
-  it('should refuse what is no JSON', () => {
+  it('should refuse a body that is not JSON', () => {
     expect(() => parseChatRequest(Buffer.from('{"me'), 'entry-1')).toThrow(
       'the body is not JSON'
     );
   });
 
-  it('should know a chat completion by method and path', () => {
+  it('should recognize a chat completion by method and path', () => {
     expect(isChatCompletion('POST', '/v1/chat/completions?x=1')).toBe(true);
     expect(isChatCompletion('GET', '/v1/chat/completions')).toBe(false);
     expect(isChatCompletion('POST', '/v1/chat/completions2')).toBe(false);
   });
 
-  it('should give equal digests to equal beginnings only', () => {
+  it('should give equal digests to equal prefixes only', () => {
     const system = {role: 'system', text: 's'.repeat(BLOCK_CHARS * 2)};
     const one = prefixDigests([system, {role: 'user', text: 'one'}]);
     const two = prefixDigests([system, {role: 'user', text: 'two'}]);
@@ -84,7 +87,7 @@
 });
 
 describe('event parser', () => {
-  it('should find the same events wherever the bytes are cut', () => {
+  it('should find the same events wherever the bytes are split', () => {
     const lineEnd = fc.constantFrom('\n', '\r\n', '\r');
     const event = fc.record({id: fc.nat(99), text: fc.constantFrom('a', '€ë')});
     const cuts = fc.array(fc.nat(400));
@@ -98,15 +101,15 @@
           .join('');
         const bytes = Buffer.from(text);
         const parser = new SseParser();
-        const edges = [0, ...at.sort((a, b) => a - b), bytes.length];
-        const seen = edges
+        const bounds = [0, ...at.sort((a, b) => a - b), bytes.length];
+        const seen = bounds
           .slice(1)
-          .flatMap((edge, i) => parser.push(bytes.subarray(edges[i], edge)));
+          .flatMap((end, i) => parser.push(bytes.subarray(bounds[i], end)));
         expect(seen.map(e => ({id: Number(e.id), text: e.data}))).toEqual(
           events.map(e => ({id: e.id, text: `${e.text}\nb`}))
         );
         const raw = seen.map(e => e.raw).join('');
-        // An LF that completes a CRLF may still come at the very end.
+        // The parser may not have returned the LF that completes a last CRLF.
         expect(text.startsWith(raw)).toBe(true);
       }
     );
