--- a/src/entry/route.ts
+++ b/src/entry/route.ts
@@ -8,7 +8,7 @@
 
 const TOKENS_PER_BLOCK = estimateTokens(' '.repeat(BLOCK_CHARS));
 
-/** Why no target could be chosen. */
+/** The chosen target and the cost of the call there, or why there is none. */
 export type RouteResult =
   | {
       readonly kind: 'target';
@@ -18,8 +18,8 @@
   | {readonly kind: 'none'; readonly detail: string};
 
 /**
- * `tried` are targets that this call has had already. A stream goes on only
- * at the model version that began it.
+ * Chooses among the targets that are not in `tried`. With a model version, as
+ * for a stream that is resumed, only targets of that version qualify.
  */
 export function route(
   core: EntryCore,
@@ -28,21 +28,23 @@
   modelVersion?: string
 ): RouteResult {
   const nowMs = performance.now();
-  const pooled = core.sync.directory
+  const inPool = core.sync.directory
     .list()
     .filter(target => target.pool === call.pool);
-  const serving = pooled.filter(
+  const serving = inPool.filter(
     target =>
       target.state === 'serving' &&
       holdsModel(call, target) &&
       (modelVersion === undefined || target.modelVersion === modelVersion)
   );
-  const inZones = serving.filter(
+  const inServiceZones = serving.filter(
     target => !call.rules.isZoneOut(target.availabilityZone)
   );
-  const open = inZones.filter(target => !tried.has(target.targetId));
-  const straggle = straggleByGroup(pooled);
-  const views = open.map(target => viewOf(core, call, target, straggle, nowMs));
+  const untried = inServiceZones.filter(target => !tried.has(target.targetId));
+  const groupSlowdowns = maxSlowdownByGroup(inPool);
+  const views = untried.map(target =>
+    viewOf(core, call, target, groupSlowdowns, nowMs)
+  );
   const chosen = chooseTarget(
     {
       promptTokens: call.chat?.promptTokens ?? 0,
@@ -52,56 +54,61 @@
     views,
     core.random
   );
-  const target = open.find(
+  const target = untried.find(
     candidate => candidate.targetId === chosen?.targetId
   );
   if (target === undefined) {
-    const detail = `${pooled.length} targets known, ${serving.length} serving, ${inZones.length} in zones in service, ${open.length} untried`;
+    const detail = `${inPool.length} targets known, ${serving.length} serving, ${inServiceZones.length} in zones in service, ${untried.length} untried`;
     return {kind: 'none', detail};
   }
   return {kind: 'target', target, cost: costOf(call, target)};
 }
 
 /**
- * Where rules say which models a pool serves, its targets hold different ones:
- * at another target the caller would get another model's answer.
+ * Where rules list the models of a pool, its targets hold different ones, and
+ * any other target would respond with another model. Without such rules, every
+ * target of the pool qualifies.
  */
 function holdsModel(
   {rules, pool, chat}: ClassifiedCall,
   {model}: Announcement
 ): boolean {
-  const wanted = chat?.model;
-  if (wanted === undefined || rules.serves(pool).length === 0) return true;
-  return model === wanted;
+  const requestedModel = chat?.model;
+  if (requestedModel === undefined || rules.serves(pool).length === 0)
+    return true;
+  return model === requestedModel;
 }
 
-/** The ranks of a group step together: the slowest sets the pace of all. */
-function straggleByGroup(
+/**
+ * Ranks of a group run each pass in lock-step, so the slowest one delays all.
+ */
+function maxSlowdownByGroup(
   targets: readonly Announcement[]
 ): ReadonlyMap<string, number> {
-  const straggle = new Map<string, number>();
+  const slowdowns = new Map<string, number>();
   for (const {group, slowdown = 1} of targets) {
     if (group === undefined) continue;
-    straggle.set(group.id, Math.max(slowdown, straggle.get(group.id) ?? 1));
+    slowdowns.set(group.id, Math.max(slowdown, slowdowns.get(group.id) ?? 1));
   }
-  return straggle;
+  return slowdowns;
 }
 
 function viewOf(
   core: EntryCore,
   call: ClassifiedCall,
   target: Announcement,
-  straggle: ReadonlyMap<string, number>,
+  groupSlowdowns: ReadonlyMap<string, number>,
   nowMs: number
 ): TargetView {
   const {group, slowdown = 1, availabilityZone} = target;
-  const ofGroup = group === undefined ? 1 : (straggle.get(group.id) ?? 1);
+  const groupSlowdown =
+    group === undefined ? 1 : (groupSlowdowns.get(group.id) ?? 1);
   return core.load.view(
     target,
     core.sync.directory.agesOf(target, nowMs),
     {
       prefixTokens: cachedTokens(call, target),
-      groupStraggle: Math.max(slowdown, ofGroup),
+      groupStraggle: Math.max(slowdown, groupSlowdown),
       returnWeight: core.zoneReturns.weight(availabilityZone, nowMs),
     },
     nowMs
@@ -114,11 +121,11 @@
     : requestCost(call.chat, cachedTokens(call, target));
 }
 
-/** Tokens of the longest leading run of blocks that the target has cached. */
+/** Prompt tokens in the longest prefix of blocks that the target has cached. */
 function cachedTokens({chat}: ClassifiedCall, target: Announcement): number {
   if (chat === undefined || target.prefixes === undefined) return 0;
-  const held = new Set(target.prefixes);
-  const missing = chat.prefixes.findIndex(prefix => !held.has(prefix));
-  const blocks = missing < 0 ? chat.prefixes.length : missing;
-  return Math.min(chat.promptTokens, blocks * TOKENS_PER_BLOCK);
+  const cached = new Set(target.prefixes);
+  const firstMissing = chat.prefixes.findIndex(prefix => !cached.has(prefix));
+  const cachedBlocks = firstMissing < 0 ? chat.prefixes.length : firstMissing;
+  return Math.min(chat.promptTokens, cachedBlocks * TOKENS_PER_BLOCK);
 }
--- a/src/entry/targetLoad.ts
+++ b/src/entry/targetLoad.ts
@@ -1,4 +1,4 @@
-/** What this entry itself has sent to each target, for the choice of one. */
+/** Tracks the work that this entry has sent to each target, and the reports. */
 
 import type {Announcement, DispatchReport} from '../core/wire';
 import type {AnnouncementAges} from '../sync/targetDirectory';
@@ -6,19 +6,21 @@
 import {NO_PROMPTS, promptsLeft, withPrompt} from '../policy/recentPrompts';
 import type {RecentPrompts} from '../policy/recentPrompts';
 
-const FAILURE_MEMORY_MS = 5_000;
-/** Within this, control tells of any change that came after the report. */
+const FAILURE_WINDOW_MS = 5_000;
+/** Within this time control announces any change that came after a report. */
 const MAX_REPORT_AGE_MS = 6_000;
-/** As often as announcements of a target came in when each poll brought one. */
-const CLOSED_REPORT_AGE_MS = 100;
+/**
+ * The interval between announcements of a target when each poll carried one.
+ */
+const MAX_ZERO_LIMIT_REPORT_AGE_MS = 100;
 
-/** What a view of a target takes from other parts of the entry. */
-export type KnownElsewhere = Pick<
+/** Fields of a TargetView that other components of the entry provide. */
+export type ExternalViewFields = Pick<
   TargetView,
   'prefixTokens' | 'groupStraggle' | 'returnWeight'
 >;
 
-interface Load {
+interface TargetCounters {
   outstanding: number;
   tokens: number;
   sinceReport: number;
@@ -26,16 +28,16 @@
   failedAtMs: number[];
   report: DispatchReport | undefined;
   reportedAtMs: number;
-  /** Boot and number of the last announcement that was used. */
+  /** Boot and sequence number of the last announcement that was used. */
   announcedBoot: string;
   announcedSeq: number;
 }
 
-/** Own work by target. */
+/** The work of this entry in progress, by target. */
 export class TargetLoad {
-  private readonly loads = new Map<string, Load>();
+  private readonly loads = new Map<string, TargetCounters>();
 
-  /** `prompt` is what the target has to take in first. */
+  /** `prompt` is what the target must process before the first token. */
   began(targetId: string, cost: number, prompt = NO_PROMPTS): void {
     const load = this.loadOf(targetId);
     load.outstanding++;
@@ -54,7 +56,9 @@
     this.loadOf(targetId).failedAtMs.push(nowMs);
   }
 
-  /** A report that came with an answer is newer than any announcement. */
+  /**
+   * Takes a report from a response; it is newer than any announcement so far.
+   */
   reported(report: DispatchReport, nowMs: number): void {
     const load = this.loadOf(report.targetId);
     load.report = report;
@@ -65,13 +69,13 @@
   view(
     announcement: Announcement,
     ages: AnnouncementAges,
-    {prefixTokens, groupStraggle, returnWeight}: KnownElsewhere,
+    {prefixTokens, groupStraggle, returnWeight}: ExternalViewFields,
     nowMs: number
   ): TargetView {
     const load = this.loadOf(announcement.targetId);
-    forgetFailures(load, nowMs);
+    dropExpiredFailures(load, nowMs);
     const {targetId, availabilityZone, tokensInWork} = announcement;
-    noteAnnounced(load, announcement);
+    resetOnNewAnnouncement(load, announcement);
     const {newest, ageMs} = newestReport(announcement, ages, load, nowMs);
     return {
       targetId,
@@ -93,10 +97,10 @@
     };
   }
 
-  private loadOf(targetId: string): Load {
-    const known = this.loads.get(targetId);
-    if (known !== undefined) return known;
-    const load: Load = {
+  private loadOf(targetId: string): TargetCounters {
+    const existing = this.loads.get(targetId);
+    if (existing !== undefined) return existing;
+    const load: TargetCounters = {
       outstanding: 0,
       tokens: 0,
       sinceReport: 0,
@@ -112,16 +116,23 @@
   }
 }
 
-/** Every call asks for a view of every target: without failures, no new list. */
-function forgetFailures(load: Load, nowMs: number): void {
+/**
+ * Runs for every target in every call, so it copies nothing without failures.
+ */
+function dropExpiredFailures(load: TargetCounters, nowMs: number): void {
   if (load.failedAtMs.length === 0) return;
   load.failedAtMs = load.failedAtMs.filter(
-    at => nowMs - at < FAILURE_MEMORY_MS
+    at => nowMs - at < FAILURE_WINDOW_MS
   );
 }
 
-/** A newer announcement counts what was sent before it. */
-function noteAnnounced(load: Load, {agentBootId, seq}: Announcement): void {
+/**
+ * A new announcement already includes the requests that were sent before it.
+ */
+function resetOnNewAnnouncement(
+  load: TargetCounters,
+  {agentBootId, seq}: Announcement
+): void {
   if (load.announcedSeq === seq && load.announcedBoot === agentBootId) return;
   load.announcedBoot = agentBootId;
   load.announcedSeq = seq;
@@ -129,15 +140,15 @@
 }
 
 /**
- * A target that took nothing for a moment, between two polls of its agent, is
- * never told of as closed, nor as open again: held on to, the report would keep
- * work from it long after.
+ * A limit of 0 that lasts for less than the time between two polls of the agent
+ * is never announced, and neither is its end. Such a report must expire early,
+ * or it would keep work away from the target for seconds.
  */
-function maxAgeMs(report: DispatchReport | undefined): number {
-  return report?.limit === 0 ? CLOSED_REPORT_AGE_MS : MAX_REPORT_AGE_MS;
+function maxReportAgeMs(report: DispatchReport | undefined): number {
+  return report?.limit === 0 ? MAX_ZERO_LIMIT_REPORT_AGE_MS : MAX_REPORT_AGE_MS;
 }
 
-interface Reported {
+interface NewestReport {
   readonly newest: Pick<
     Announcement,
     'temperature' | 'limit' | 'outstanding' | 'queued'
@@ -148,14 +159,14 @@
 function newestReport(
   announcement: Announcement,
   ages: AnnouncementAges,
-  {report, reportedAtMs}: Load,
+  {report, reportedAtMs}: TargetCounters,
   nowMs: number
-): Reported {
+): NewestReport {
   const reportAgeMs = nowMs - reportedAtMs;
   const sameBoot = report?.agentBootId === announcement.agentBootId;
-  const isOlder =
-    reportAgeMs > ages.arrivedMs || reportAgeMs > maxAgeMs(report);
-  if (report === undefined || !sameBoot || isOlder) {
+  const isStale =
+    reportAgeMs > ages.arrivedMs || reportAgeMs > maxReportAgeMs(report);
+  if (report === undefined || !sameBoot || isStale) {
     return {newest: announcement, ageMs: ages.confirmedMs};
   }
   return {newest: report, ageMs: reportAgeMs};
--- a/tests/capacityLoad.spec.ts
+++ b/tests/capacityLoad.spec.ts
@@ -4,7 +4,7 @@
 
 const BUSY: Announcement = {...ANNOUNCED, outstanding: 2};
 
-/** What an answer at time 0 told of the target. */
+/** The load after a response at time 0 reported the target's state. */
 function reported(limit: number): TargetLoad {
   const load = new TargetLoad();
   const report: DispatchReport = {
@@ -21,40 +21,42 @@
   return load;
 }
 
-/** The view at a time, of an announcement that came long before the report. */
+/** The view at a time, with an announcement from long before the report. */
 function viewAt(load: TargetLoad, nowMs: number) {
   const ages = {arrivedMs: nowMs + 10_000, confirmedMs: 100};
-  const elsewhere = {prefixTokens: 0, groupStraggle: 1};
-  return load.view(BUSY, ages, elsewhere, nowMs);
+  const externalFields = {prefixTokens: 0, groupStraggle: 1};
+  return load.view(BUSY, ages, externalFields, nowMs);
 }
 
-describe('reports with answers against announcements', () => {
-  it('should take a report that is newer than the announcement', () => {
+describe('reports in responses against announcements', () => {
+  it('should use a report that is newer than the announcement', () => {
     expect(viewAt(reported(16), 4_000)).toMatchObject({
       reportedOutstanding: 5,
       reportAgeMs: 4_000,
     });
   });
 
-  it('should go back to an announcement that is still confirmed', () => {
+  it('should return to an announcement that is still confirmed', () => {
     expect(viewAt(reported(16), 6_001)).toMatchObject({
       reportedOutstanding: 2,
       reportAgeMs: 100,
     });
   });
 
-  it('should not hold on to a target being closed for a moment', () => {
-    // An engine restarts. Between two polls of its agent it takes nothing, and
-    // a refusal says so; control never hears of it and so tells of no change.
-    // When the other targets leave, callers would be told that there is none.
+  it('should expire a limit of 0 after one poll interval', () => {
+    // An engine restarts between two polls of its agent. A refusal reports a
+    // limit of 0, but control never learns of it and so announces no change. If
+    // the report were kept and the other targets left, callers would get
+    // "no-target".
     const load = reported(0);
     expect(viewAt(load, 100)).toMatchObject({limit: 0});
     expect(viewAt(load, 101)).toMatchObject({limit: 16});
   });
 
-  // Reports come once a second at best. What this entry sent since waits to be
-  // taken in, and the next prompt would wait behind it, but not for ever.
-  it('should count prompts sent a moment ago, and less as they are taken in', () => {
+  // Reports come once a second at best. Prompts that this entry has sent since
+  // are still waiting for prefill and delay the next one, but only for a short
+  // time.
+  it('should count prompts sent a moment ago, and fewer as they are processed', () => {
     const load = reported(16);
     load.began(BUSY.targetId, 400, {tokens: 1000, atMs: 100});
     load.began(BUSY.targetId, 400, {tokens: 1000, atMs: 250});
--- a/tests/route.spec.ts
+++ b/tests/route.spec.ts
@@ -35,7 +35,7 @@
   group: {id, rank: index, ranks: 2, experts: 8, slots: 10},
 });
 
-/** Targets that were chosen in many calls. */
+/** The distinct targets chosen in 60 calls. */
 function chosen(
   targets: readonly Announcement[],
   modelVersion?: string,
@@ -78,9 +78,9 @@
 }
 
 describe('choice of a target by an entry', () => {
-  // One rank of a group is slow, and with it every step of the group. Sent to
-  // its quick-looking neighbours, callers wait just as long.
-  it('should keep away from all ranks of a group with a straggler', () => {
+  // One slow rank slows down every pass of its group. The other ranks report no
+  // slowdown, but callers sent to them would wait just as long.
+  it('should avoid all ranks of a group with a straggler', () => {
     const slow = [
       rank(0, {...groupOf('g1', 0), slowdown: 4}),
       rank(1, groupOf('g1', 1)),
@@ -102,15 +102,15 @@
     expect(chosen([rank(0, change), rank(1)])).toEqual(new Set(['planner-1']));
   });
 
-  it('should go on with a stream at its own model version only', () => {
+  it('should resume a stream at its own model version only', () => {
     const targets = [rank(0, {modelVersion: 'v2'}), rank(1)];
     expect(chosen(targets, 'v1')).toEqual(new Set(['planner-1']));
     expect(chosen(targets, 'v3')).toEqual(new Set(['none']));
   });
 
-  // Orders have given the targets of one pool different models. A caller sent
-  // to any of them would be answered by a model that it did not ask for.
-  it('should keep to targets that hold the model where rules name models', () => {
+  // The targets of one pool hold different models. Without the check, a caller
+  // would get the response of a model that it did not request.
+  it('should choose only targets that hold the model where rules list models', () => {
     const targets = [rank(0, {model: 'llama'}), rank(1, {model: 'phi'})];
     const rules = SERVES;
     const of = (model: string) => chosen(targets, undefined, {rules, model});
