--- a/src/entry/answerBadClient.ts
+++ b/src/entry/answerBadClient.ts
@@ -1,23 +1,23 @@
-/** Answers a connection on which no valid request came. */
+/** Responds to bytes that are not a valid HTTP request. */
 
 import type {Duplex} from 'node:stream';
 
-const HEAD_TOO_LARGE = 'HPE_HEADER_OVERFLOW';
-const HEAD_TOO_SLOW = 'ERR_HTTP_REQUEST_TIMEOUT';
+const HEADER_OVERFLOW = 'HPE_HEADER_OVERFLOW';
+const REQUEST_TIMEOUT = 'ERR_HTTP_REQUEST_TIMEOUT';
 
 function statusOf(code: string | undefined): string {
   switch (code) {
-    case HEAD_TOO_LARGE:
+    case HEADER_OVERFLOW:
       return '431 Request Header Fields Too Large';
-    case HEAD_TOO_SLOW:
+    case REQUEST_TIMEOUT:
       return '408 Request Timeout';
     default:
       return '400 Bad Request';
   }
 }
 
-/** Writes the answer by hand, as there is no request to answer, and closes. */
-export function answerBadClient(
+/** Writes a raw HTTP response, since there is no ServerResponse, and closes. */
+export function sendClientError(
   entryId: string,
   code: string | undefined,
   socket: Duplex
--- a/src/entry/answerRefusal.ts
+++ b/src/entry/answerRefusal.ts
@@ -1,12 +1,15 @@
-/** Turns a refusal into the answer that the caller gets. */
+/** Sends a refusal to the caller. */
 
 import type {ServerResponse} from 'node:http';
 import {REFUSALS, Refusal} from '../core/refusal';
 import {sendJson} from '../core/sendJson';
 import {cutOff} from '../core/upstream';
 
-/** Sends the typed body and the headers that say the same. */
-export function answerRefusal(
+/**
+ * Sends the refusal as a JSON body and as headers. If the head of a response
+ * has already been sent, only the connection is cut.
+ */
+export function sendRefusal(
   res: ServerResponse,
   requestId: string,
   refusal: Refusal
@@ -25,7 +28,8 @@
     'marlpulley-step': step,
     'marlpulley-peer': peer,
   };
-  // The rest of the body may never come, and the connection would wait for it.
+  // The rest of the request body may never arrive, and a connection that is
+  // kept open would wait for it.
   if (reason === 'body-timeout' || reason === 'timed-out')
     headers['connection'] = 'close';
   if (retryable && retryAfterMs !== undefined) {
--- a/src/entry/attempts.ts
+++ b/src/entry/attempts.ts
@@ -1,4 +1,6 @@
-/** Tries targets in turn until one answers or nothing more may be tried. */
+/**
+ * Tries targets in turn until one responds or no further attempt is allowed.
+ */
 
 import type {IncomingMessage} from 'node:http';
 import {CancelSignal, Cancellation, joined} from '../core/cancellation';
@@ -6,38 +8,38 @@
 import type {Announcement, DispatchReport} from '../core/wire';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
-import {AttemptOutcome, dispatchOnce, mayTryElsewhere} from './dispatchOnce';
+import {AttemptOutcome, dispatchAttempt, mayTryElsewhere} from './dispatchOnce';
 import type {EntryCore} from './entryCore';
 import type {CallerResume} from './chat/chatRequest';
-import {HedgeLeg, hedged} from './hedge';
+import {HedgedAttempt, runHedged} from './hedge';
 import {route} from './route';
 
-/** A target's answer whose body is still to be read. */
-export interface Answered {
+/** An attempt that got a response, whose body is still to be read. */
+export interface AnsweredAttempt {
   readonly answer: IncomingMessage;
   readonly report: DispatchReport;
   readonly target: Announcement;
-  /** Ends the accounting of the attempt; safe to call twice. */
+  /** Removes the attempt from the load of its target; safe to call twice. */
   done(): void;
 }
 
 const NONE_TRIED: ReadonlySet<string> = new Set();
-const NO_TARGET_RETRY_MS = 500;
+const NO_TARGET_RETRY_AFTER_MS = 500;
 
 /**
- * Refusals that cost the target nothing and tell the entry something it did
- * not know yet: they draw on no retry budget, or a zone that goes out would
- * use it up.
+ * Refusals that cost the target nothing and correct an outdated view of the
+ * entry. A retry after one counts against neither the attempt limit nor the
+ * retry budget; otherwise a zone taken out of service would use up the budget.
  */
-const FREE_TO_RETRY: ReadonlySet<Refusal['reason']> = new Set([
+const BUDGET_EXEMPT_REASONS: ReadonlySet<Refusal['reason']> = new Set([
   'zone-out',
   'target-leaving',
   'target-changed',
   'draining',
 ]);
 
-type AttemptEnd =
-  | {readonly kind: 'answered'; readonly answered: Answered}
+type AttemptResult =
+  | {readonly kind: 'answered'; readonly answered: AnsweredAttempt}
   | Extract<AttemptOutcome, {kind: 'refused'}>;
 
 /** The attempts of one call. */
@@ -53,25 +55,25 @@
     this.budget().request();
   }
 
-  /** Resolves with the first answer; rejects with the last RefusalError. */
-  async run(resume?: CallerResume): Promise<Answered> {
+  /** Resolves with the first response; rejects with the last RefusalError. */
+  async run(resume?: CallerResume): Promise<AnsweredAttempt> {
     try {
       return await this.tryAll(resume);
     } catch (err) {
-      throw err instanceof RefusalError ? this.honest(err) : err;
+      throw err instanceof RefusalError ? this.correctOutcome(err) : err;
     }
   }
 
-  /** The answer of an attempt was lost after it had begun. */
-  answerLost(): void {
+  /** Records that a response was lost after its head had arrived. */
+  recordLostResponse(): void {
     this.mayHaveRun = true;
   }
 
   /**
-   * The last target's "not run" holds for that attempt alone: when an earlier
-   * one was lost on the way, the request may have run there.
+   * Replaces "not run" by "outcome unknown" when an earlier attempt may have
+   * run: the last refusal proves "not run" only for its own attempt.
    */
-  private honest(err: RefusalError): RefusalError {
+  private correctOutcome(err: RefusalError): RefusalError {
     const {refusal} = err;
     const saysNotRun = REFUSALS[refusal.reason].outcome === 'not run';
     if (!this.mayHaveRun || !saysNotRun) return err;
@@ -79,53 +81,60 @@
     return new RefusalError({...refusal, reason: 'outcome-unknown', detail});
   }
 
-  private async tryAll(resume: CallerResume | undefined): Promise<Answered> {
-    let last: Refusal | undefined;
+  private async tryAll(
+    resume: CallerResume | undefined
+  ): Promise<AnsweredAttempt> {
+    let lastRefusal: Refusal | undefined;
     for (;;) {
       this.call.progress.assertInTime('route');
-      const next = this.next(last, resume);
-      const outcome = await this.attempt(next.target, next.cost, resume);
+      const chosen = this.chooseNext(lastRefusal, resume);
+      const outcome = await this.attempt(chosen.target, chosen.cost, resume);
       if (outcome.kind === 'answered') return outcome.answered;
-      last = outcome.refusal;
-      this.assertMayRepeat(last);
+      lastRefusal = outcome.refusal;
+      this.assertMayRetry(lastRefusal);
     }
   }
 
-  private next(last: Refusal | undefined, resume: CallerResume | undefined) {
+  private chooseNext(
+    lastRefusal: Refusal | undefined,
+    resume: CallerResume | undefined
+  ) {
     const {core, call, tried} = this;
     const chosen = route(core, call, tried, resume?.modelVersion);
     if (chosen.kind === 'target') return chosen;
-    // A stream may go on where it broke off, if there is nowhere else: only
-    // its connection may have been lost.
-    if (resume !== undefined && last === undefined) {
-      const again = route(core, call, NONE_TRIED, resume.modelVersion);
-      if (again.kind === 'target') return again;
+    // Without another target, a stream may be resumed at one that lost it:
+    // perhaps only the connection failed.
+    if (resume !== undefined && lastRefusal === undefined) {
+      const revisited = route(core, call, NONE_TRIED, resume.modelVersion);
+      if (revisited.kind === 'target') return revisited;
     }
-    // A target that refused said more than "there is no other".
-    if (last !== undefined) throw new RefusalError(last);
+    // A target's refusal is more informative than "no-target".
+    if (lastRefusal !== undefined) throw new RefusalError(lastRefusal);
     throw refuse(
       'no-target',
       'route',
       this.core.entryId,
       chosen.detail,
-      NO_TARGET_RETRY_MS
+      NO_TARGET_RETRY_AFTER_MS
     );
   }
 
-  /** One attempt, with a second one beside it where the rules hedge. */
+  /** Runs one attempt, with a hedge beside it where the rules ask for one. */
   private async attempt(
     target: Announcement,
     cost: number,
     resume: CallerResume | undefined
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptResult> {
     const {limit} = this.call;
-    const first = this.leg(target, cost, resume);
+    const first = this.startAttempt(target, cost, resume);
     if (limit.hedgeAfterMs === undefined || !this.mayHedge())
       return first.outcome;
-    return hedged(first, limit.hedgeAfterMs, () => this.hedge(resume));
+    return runHedged(first, limit.hedgeAfterMs, () => this.hedge(resume));
   }
 
-  /** Only what may run twice, and what can be sent twice. */
+  /**
+   * A call can be hedged if it may run twice and its body can be sent twice.
+   */
   private mayHedge(): boolean {
     const {once, body, chat} = this.call;
     return (
@@ -135,20 +144,20 @@
 
   private hedge(
     resume: CallerResume | undefined
-  ): HedgeLeg<AttemptEnd> | undefined {
+  ): HedgedAttempt<AttemptResult> | undefined {
     const {core, call, tried} = this;
     const other = route(core, call, tried, resume?.modelVersion);
     if (other.kind === 'none' || !this.budget().tryRetry(performance.now()))
       return undefined;
     core.metrics.count('request.hedged');
-    return this.leg(other.target, other.cost, resume);
+    return this.startAttempt(other.target, other.cost, resume);
   }
 
-  private leg(
+  private startAttempt(
     target: Announcement,
     cost: number,
     resume: CallerResume | undefined
-  ): HedgeLeg<AttemptEnd> {
+  ): HedgedAttempt<AttemptResult> {
     const {core, call} = this;
     this.tried.add(target.targetId);
     const tokens = call.chat?.promptTokens ?? 0;
@@ -156,23 +165,23 @@
     core.load.began(target.targetId, cost, prompt);
     const done = runOnce(() => core.load.ended(target.targetId, cost));
     const cancelled = new Cancellation();
-    const boundMs = resume === undefined ? undefined : this.resumeWithinMs();
-    const bound = timeout(boundMs, () => cancelled.cancel());
-    const outcome = dispatchOnce(core, call, {
+    const timeoutMs = resume === undefined ? undefined : this.resumeTimeoutMs();
+    const timer = startTimer(timeoutMs, () => cancelled.cancel());
+    const outcome = dispatchAttempt(core, call, {
       number: ++this.count,
       target,
       cost,
       resumeFrom: resume?.fromToken,
-      signal: this.legSignal(cancelled, boundMs),
-    }).then((end): AttemptEnd => {
-      clearTimeout(bound);
+      signal: this.attemptSignal(cancelled, timeoutMs),
+    }).then((end): AttemptResult => {
+      clearTimeout(timer);
       if (end.kind === 'answered') {
         const {answer, report} = end;
         return {kind: 'answered', answered: {answer, report, target, done}};
       }
       done();
-      // Noted here, for both legs of a hedge: the other one's "not run" would
-      // otherwise be the last word.
+      // Recorded here so that it covers both attempts of a hedge: if this one
+      // may have run, the caller must not get the "not run" of the other.
       const {outcome} = REFUSALS[end.refusal.reason];
       this.mayHaveRun ||= outcome === 'outcome unknown';
       return end;
@@ -191,50 +200,61 @@
     return {outcome, cancel};
   }
 
-  /** Only a leg that is hedged or bounded can be cancelled alone. */
-  private legSignal(
+  /**
+   * Only an attempt that may be hedged, or has its own timeout, needs a signal
+   * beside that of the call.
+   */
+  private attemptSignal(
     cancelled: Cancellation,
-    boundMs: number | undefined
+    timeoutMs: number | undefined
   ): CancelSignal {
     const {progress, limit} = this.call;
-    const isAlone = limit.hedgeAfterMs === undefined && boundMs === undefined;
-    return isAlone ? progress.signal : joined(progress.signal, cancelled);
+    const usesCallSignal =
+      limit.hedgeAfterMs === undefined && timeoutMs === undefined;
+    return usesCallSignal
+      ? progress.signal
+      : joined(progress.signal, cancelled);
   }
 
   /**
-   * Longest wait for the head of a resumption, while another may follow. A link
-   * that went silent says nothing: without a bound the one attempt takes all the
-   * time that is left, and the caller's stream is cut though others could go on.
+   * Timeout for the response head of a resumption; undefined for the last
+   * attempt. A silent link reports no error: without the timeout, one attempt
+   * would use up the remaining time, and the caller's stream would be cut
+   * although another target could continue it.
    */
-  private resumeWithinMs(): number | undefined {
+  private resumeTimeoutMs(): number | undefined {
     const {limit, progress} = this.call;
-    const left = limit.attempts - this.count;
-    return left > 1 ? progress.remainingMs() / left : undefined;
+    const attemptsLeft = limit.attempts - this.count;
+    return attemptsLeft > 1 ? progress.remainingMs() / attemptsLeft : undefined;
   }
 
-  private assertMayRepeat(refusal: Refusal): void {
+  private assertMayRetry(refusal: Refusal): void {
     const {call, core} = this;
     const {signal} = call.progress;
     if (signal.aborted) throw this.timedOut();
     const idempotent = call.once === undefined;
     const repeatable =
       mayTryElsewhere(refusal, idempotent) && call.body.kind !== 'streaming';
-    const last =
-      this.count >= call.limit.attempts && !FREE_TO_RETRY.has(refusal.reason);
-    if (!repeatable || last || !this.mayAfford(refusal))
+    const attemptsUsedUp =
+      this.count >= call.limit.attempts &&
+      !BUDGET_EXEMPT_REASONS.has(refusal.reason);
+    if (!repeatable || attemptsUsedUp || !this.takeFromBudget(refusal))
       throw new RefusalError(refusal);
     core.metrics.count('request.retried', {reason: refusal.reason});
-    callLogger(core, call).info({refusal}, 'trying another target');
+    callLogger(core, call).info(
+      {refusal},
+      'attempt refused; trying another target'
+    );
   }
 
-  private mayAfford(refusal: Refusal): boolean {
+  private takeFromBudget(refusal: Refusal): boolean {
     return (
-      FREE_TO_RETRY.has(refusal.reason) ||
+      BUDGET_EXEMPT_REASONS.has(refusal.reason) ||
       this.budget().tryReplace(performance.now())
     );
   }
 
-  /** The deadline passed while a target had the request. */
+  /** The deadline passed while a target was working on the request. */
   private timedOut(): RefusalError {
     const {core} = this;
     return refuse(
@@ -247,7 +267,7 @@
 
   private budget() {
     const {pool, limit} = this.call;
-    return this.core.budgets.of(pool, limit.retryBudgetPercent);
+    return this.core.retryBudgets.forPool(pool, limit.retryBudgetPercent);
   }
 }
 
@@ -260,8 +280,8 @@
   };
 }
 
-/** A timer, or none without a time; clearTimeout takes either. */
-function timeout(
+/** Returns undefined without a time, which clearTimeout accepts as well. */
+function startTimer(
   ms: number | undefined,
   action: () => void
 ): NodeJS.Timeout | undefined {
--- a/src/entry/callerServer.ts
+++ b/src/entry/callerServer.ts
@@ -1,4 +1,4 @@
-/** The port for callers: health pages, the filter chain, lame duck. */
+/** The HTTP server for callers: health checks, the filter chain, draining. */
 
 import {randomUUID} from 'node:crypto';
 import http, {IncomingMessage, ServerResponse} from 'node:http';
@@ -7,8 +7,8 @@
 import {Refusal, RefusalError, refuse} from '../core/refusal';
 import {sendJson} from '../core/sendJson';
 import type {EntrySettings} from '../settings/settings';
-import {answerBadClient} from './answerBadClient';
-import {answerRefusal} from './answerRefusal';
+import {sendClientError} from './answerBadClient';
+import {sendRefusal} from './answerRefusal';
 import {ClassifiedCall, Filter, ReceivedCall, chain} from './call';
 import type {EntryCore} from './entryCore';
 import {classify} from './filters/classify';
@@ -17,23 +17,23 @@
 import {serveCall} from './serveCall';
 import {serveOnce} from './serveOnce';
 
-/** Paths that are answered here and never routed. */
+/** Liveness check. It is served here and never routed, like READY_PATH. */
 export const HEALTH_PATH = '/marlpulley/health';
-/** Fails while the process should get no new requests. */
+/** Readiness check; it fails while the process should get no new requests. */
 export const READY_PATH = '/marlpulley/ready';
 
 const HTTP_OK = 200;
 const HTTP_UNAVAILABLE = 503;
-const RULES_RETRY_MS = 1_000;
-/** Node looks for slow heads this seldom, 30 s by default. */
-const SLOW_CHECK_MS = 500;
+const RULES_RETRY_AFTER_MS = 1_000;
+/** Interval at which Node enforces the header timeout; its default is 30 s. */
+const HEADER_TIMEOUT_CHECK_MS = 500;
 
 /** Serves callers until it is drained. */
 export class CallerServer {
   private readonly server: http.Server;
   private readonly filters: Filter<ReceivedCall, ClassifiedCall>;
   private draining = false;
-  /** The newest answer on each connection. */
+  /** The latest response on each connection. */
   private readonly answers = new WeakMap<Duplex, ServerResponse>();
 
   constructor(
@@ -50,18 +50,19 @@
     const options = {
       maxHeaderSize: callers.maxHeaderBytes,
       headersTimeout: callers.headerTimeoutMs,
-      connectionsCheckingInterval: SLOW_CHECK_MS,
+      connectionsCheckingInterval: HEADER_TIMEOUT_CHECK_MS,
     };
     this.server = http.createServer(options, (req, res) =>
       this.received(req, res)
     );
-    // The 100-continue goes out when the body is read, after the refusals.
+    // Such a request gets its 100 Continue later, from `classify`, so that a
+    // refused caller sends no body.
     this.server.on(
       'checkContinue',
       (req: IncomingMessage, res: ServerResponse) => this.received(req, res)
     );
     this.server.on('clientError', (err: NodeJS.ErrnoException, socket) =>
-      this.badClient(err, socket)
+      this.handleClientError(err, socket)
     );
   }
 
@@ -76,8 +77,9 @@
   }
 
   /**
-   * Lame duck: not ready at once, but serving until the platform has stopped
-   * sending; then no new connections, and every request in hand to its end.
+   * Reports "not ready" at once, but serves for another `drainMs`, until the
+   * platform has stopped sending. Then accepts no new connections and completes
+   * every request in progress.
    */
   async drain(): Promise<void> {
     this.draining = true;
@@ -96,8 +98,8 @@
 
   private received(req: IncomingMessage, res: ServerResponse): void {
     if (req.url === HEALTH_PATH) return sendJson(res, HTTP_OK, {alive: true});
-    if (req.url === READY_PATH) return this.answerReady(res);
-    // A connection that goes on being used would keep the drain from ending.
+    if (req.url === READY_PATH) return this.sendReadiness(res);
+    // A connection that stays in use would keep the drain from ending.
     if (this.draining) res.setHeader('connection', 'close');
     this.answers.set(req.socket, res);
     const requestId = randomUUID();
@@ -120,7 +122,7 @@
         'receive',
         core.entryId,
         'no quorum of control confirmed the rules',
-        RULES_RETRY_MS
+        RULES_RETRY_AFTER_MS
       );
     }
     await this.filters({req, res, requestId, rules}, call => this.answer(call));
@@ -139,7 +141,7 @@
     });
   }
 
-  private answerReady(res: ServerResponse): void {
+  private sendReadiness(res: ServerResponse): void {
     const freshness = this.core.sync.freshness().kind;
     const ready = !this.draining && freshness !== 'unproven';
     sendJson(res, ready ? HTTP_OK : HTTP_UNAVAILABLE, {
@@ -154,7 +156,7 @@
     if (!(err instanceof RefusalError)) {
       core.logger.error(
         {requestId, err: err instanceof Error ? err.stack : String(err)},
-        'request failed'
+        'unexpected error while serving a request'
       );
     }
     const refusal: Refusal =
@@ -168,23 +170,23 @@
           };
     const {reason, step} = refusal;
     core.metrics.count('request.refused', {reason, step});
-    core.logger.info({requestId, refusal}, 'refused');
-    answerRefusal(res, requestId, refusal);
+    core.logger.info({requestId, refusal}, 'request refused');
+    sendRefusal(res, requestId, refusal);
   }
 
-  private badClient(err: NodeJS.ErrnoException, socket: Duplex): void {
+  private handleClientError(err: NodeJS.ErrnoException, socket: Duplex): void {
     const {core} = this;
     core.metrics.count('request.refused', {
       reason: 'malformed-request',
       step: 'receive',
     });
-    // An answer of ours would be read as that of the request in hand, and say
-    // "not run" of one that may be running.
-    const inHand = this.answers.get(socket);
-    if (!socket.writable || inHand?.writableFinished === false) {
+    // The caller would read an error sent now as the response to the request in
+    // progress, which may be running although the error says "not run".
+    const latestResponse = this.answers.get(socket);
+    if (!socket.writable || latestResponse?.writableFinished === false) {
       socket.destroy();
       return;
     }
-    answerBadClient(core.entryId, err.code, socket);
+    sendClientError(core.entryId, err.code, socket);
   }
 }
--- a/src/entry/chat/chatUsage.ts
+++ b/src/entry/chat/chatUsage.ts
@@ -1,36 +1,36 @@
-/** Reads from a whole chat completion how many tokens it cost. */
+/** Reads the output tokens of a chat completion that is not streamed. */
 
 import * as z from 'zod';
 
-/** A larger answer is passed on without being read. */
-const MAX_READ_BYTES = 1024 * 1024;
+/** A larger response is not parsed, so its tokens are not counted. */
+const MAX_PARSED_BYTES = 1024 * 1024;
 
-const ANSWER = z.looseObject({
+const COMPLETION = z.looseObject({
   usage: z.looseObject({completion_tokens: z.number().nonnegative()}),
 });
 
-/** Collects the body as it passes. */
+/** Collects the body of a response while it is relayed. */
 export class ChatUsage {
   private chunks: Buffer[] = [];
   private size = 0;
 
-  take(chunk: Buffer): void {
+  addChunk(chunk: Buffer): void {
     this.size += chunk.length;
-    if (this.size <= MAX_READ_BYTES) this.chunks.push(chunk);
+    if (this.size <= MAX_PARSED_BYTES) this.chunks.push(chunk);
   }
 
-  /** Starts anew for another target's answer. */
+  /** Discards what was collected, before another target's response. */
   reset(): void {
     this.chunks = [];
     this.size = 0;
   }
 
-  /** 0 when the answer does not tell. */
+  /** 0 when the response does not state it. */
   completionTokens(): number {
-    if (this.size > MAX_READ_BYTES) return 0;
+    if (this.size > MAX_PARSED_BYTES) return 0;
     try {
       const body: unknown = JSON.parse(Buffer.concat(this.chunks).toString());
-      return ANSWER.parse(body).usage.completion_tokens;
+      return COMPLETION.parse(body).usage.completion_tokens;
     } catch {
       return 0;
     }
--- a/src/entry/chat/streamMachine.ts
+++ b/src/entry/chat/streamMachine.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what a caller gets of a stream that several targets carry one after
- * the other: every token once and in order, or an error. No I/O.
+ * Decides what a caller gets of a stream that several targets may produce one
+ * after the other: every token once and in order, or an error. It does no I/O.
  */
 
 import * as z from 'zod';
@@ -9,7 +9,7 @@
 
 const DONE = '[DONE]';
 
-/** Why a target no longer carries the stream. */
+/** Why a target cannot continue the stream. */
 export type LossCause =
   | 'connection lost'
   | 'ended early'
@@ -18,7 +18,7 @@
   | 'target error'
   | 'event too large';
 
-/** Why a stream cannot go on at all. */
+/** Why a stream cannot be resumed at any target. */
 export type CutCause =
   | LossCause
   | 'model version differs'
@@ -29,25 +29,25 @@
   | 'too many losses'
   | 'deadline passed';
 
-/** What to do after some bytes of the stream. */
+/** What to do after a chunk of bytes. */
 export type StreamNext =
   | {readonly kind: 'continue'}
   | {readonly kind: 'done'}
   | {readonly kind: 'lost'; readonly cause: LossCause}
   | {readonly kind: 'cut'; readonly cause: CutCause};
 
-/** What some bytes of the stream come to. */
+/** The result of a chunk of bytes. */
 export interface StreamStep {
-  /** For the caller. */
+  /** Text to send to the caller. */
   readonly text: string;
-  /** Tokens in the text. */
+  /** Number of tokens in the text. */
   readonly tokens: number;
   readonly next: StreamNext;
 }
 
-/** Where another target must go on. */
+/** Where another target must resume the stream. */
 export interface ResumePoint {
-  /** Tokens that the caller has. */
+  /** Number of tokens that the caller already has. */
   readonly fromToken: number;
   readonly modelVersion: string;
   readonly cause: LossCause;
@@ -58,13 +58,13 @@
   | {readonly kind: 'reopen'; readonly point: ResumePoint}
   | {readonly kind: 'cut'; readonly cause: CutCause};
 
-/** Bounds and start of a stream. */
+/** Start and limits of a stream. */
 export interface StreamLimits {
-  /** Tokens that the caller already has; 0 for a new stream. */
+  /** Number of tokens that the caller already has; 0 for a new stream. */
   readonly fromToken: number;
-  /** Version that those came from. */
+  /** Model version that produced them. */
   readonly modelVersion?: string;
-  /** Losses without a new token in between that end the stream. */
+  /** Consecutive losses without a new token that are tolerated. */
   readonly maxLosses: number;
   readonly maxEventChars: number;
 }
@@ -86,18 +86,18 @@
 
 const CONTINUE: StreamNext = {kind: 'continue'};
 
-/** One stream towards one caller. */
+/** State of one stream to one caller. */
 export class StreamMachine {
   private parser = new SseParser();
   private nextToken: number;
   private modelVersion: string | undefined;
-  private claimedVersion: string | undefined;
-  private identified = false;
-  /** Highest token seen from the current target. */
-  private lastSeen: number | undefined;
+  private announcedVersion: string | undefined;
+  private versionChecked = false;
+  /** Highest token index received from the current target. */
+  private highestToken: number | undefined;
   private losses = 0;
-  private upstreams = 0;
-  private hasUntracked = false;
+  private sourceCount = 0;
+  private hasTokensWithoutIds = false;
   private hasUsage = false;
   private hasFinishReason = false;
   private lastTokenData: string | undefined;
@@ -107,31 +107,31 @@
     this.modelVersion = limits.modelVersion;
   }
 
-  /** Tokens that the caller has. */
+  /** Number of tokens that the caller has. */
   get delivered(): number {
     return this.nextToken;
   }
 
-  /** Another target carries the stream from here; its version as announced. */
-  opened(claimedVersion: string | undefined): void {
+  /** Starts the stream of another target; the version is the announced one. */
+  opened(announcedVersion: string | undefined): void {
     this.parser = new SseParser();
-    this.claimedVersion = claimedVersion;
-    this.identified = false;
-    this.lastSeen = undefined;
-    this.upstreams++;
+    this.announcedVersion = announcedVersion;
+    this.versionChecked = false;
+    this.highestToken = undefined;
+    this.sourceCount++;
   }
 
-  /** Takes bytes of the current target. */
+  /** Handles bytes from the current target. */
   chunk(bytes: Buffer): StreamStep {
     let text = '';
     const before = this.nextToken;
     let next = CONTINUE;
     for (const event of this.parser.push(bytes)) {
-      const taken = this.take(event);
-      if (taken === 'drop') continue;
-      if (taken === 'deliver' || taken.kind === 'done') text += event.raw;
-      if (taken === 'deliver') continue;
-      next = taken;
+      const result = this.handleEvent(event);
+      if (result === 'drop') continue;
+      if (result === 'deliver' || result.kind === 'done') text += event.raw;
+      if (result === 'deliver') continue;
+      next = result;
       break;
     }
     if (
@@ -144,28 +144,31 @@
     return {text, tokens, next};
   }
 
-  /** The current target is gone: whether another one may go on. */
+  /** Handles the loss of the current target: whether another one may resume. */
   lost(cause: LossCause): LossDecision {
     this.losses++;
-    if (this.hasUntracked) return {kind: 'cut', cause: 'tokens without ids'};
+    if (this.hasTokensWithoutIds)
+      return {kind: 'cut', cause: 'tokens without ids'};
     if (this.losses > this.limits.maxLosses)
       return {kind: 'cut', cause: 'too many losses'};
-    const modelVersion = this.modelVersion ?? this.claimedVersion;
+    const modelVersion = this.modelVersion ?? this.announcedVersion;
     if (modelVersion === undefined)
       return {kind: 'cut', cause: 'model version unknown'};
     const point = {fromToken: this.nextToken, modelVersion, cause};
     return {kind: 'reopen', point};
   }
 
-  private take(event: SseEvent): 'deliver' | 'drop' | StreamNext {
+  private handleEvent(event: SseEvent): 'deliver' | 'drop' | StreamNext {
     if (event.data === DONE) return this.finish();
     if (event.event === 'error') return {kind: 'lost', cause: 'target error'};
     if (event.data === '') return event.id === undefined ? 'deliver' : 'drop';
     const index = event.id === undefined ? undefined : tokenIndex(event.id);
-    if (index === undefined) return this.takeUntracked(event);
-    const mismatch = this.identified ? undefined : this.identifyToken(event);
+    if (index === undefined) return this.handleEventWithoutToken(event);
+    const mismatch = this.versionChecked
+      ? undefined
+      : this.checkTokenVersion(event);
     if (mismatch !== undefined) return {kind: 'cut', cause: mismatch};
-    this.lastSeen = Math.max(index, this.lastSeen ?? 0);
+    this.highestToken = Math.max(index, this.highestToken ?? 0);
     if (index < this.nextToken) return 'drop';
     if (index > this.nextToken) return {kind: 'lost', cause: 'token skipped'};
     this.nextToken++;
@@ -173,83 +176,98 @@
     return 'deliver';
   }
 
-  private identifyToken(event: SseEvent): CutCause | undefined {
-    const stated = parseChunk(event.data)?.system_fingerprint;
-    return this.identify(stated ?? this.claimedVersion);
+  private checkTokenVersion(event: SseEvent): CutCause | undefined {
+    const fingerprint = parseChunk(event.data)?.system_fingerprint;
+    return this.checkVersion(fingerprint ?? this.announcedVersion);
   }
 
   /**
-   * The version stands in the stream itself: an announced one may be older
-   * than a switch that came between the announcement and the answer.
+   * Compares a model version with that of the stream; the first one is adopted.
+   * Callers pass the version in the stream where it states one: the announced
+   * version is outdated if the target switched after its announcement.
    */
-  private identify(version: string | undefined): CutCause | undefined {
-    this.identified = true;
+  private checkVersion(version: string | undefined): CutCause | undefined {
+    this.versionChecked = true;
     if (this.modelVersion === undefined) {
       this.modelVersion = version;
       return undefined;
     }
     if (version === undefined) return 'model version unknown';
-    // Tokens of another version do not continue the text that the caller has.
+    // Tokens of another version would not fit the text that the caller has.
     return version === this.modelVersion ? undefined : 'model version differs';
   }
 
-  /** Events without a token id: a role at the start, the use at the end. */
-  private takeUntracked(event: SseEvent): 'deliver' | 'drop' | StreamNext {
-    if (this.hasUntracked) return 'deliver';
+  /** Events without a token id: a role at the start, the usage at the end. */
+  private handleEventWithoutToken(
+    event: SseEvent
+  ): 'deliver' | 'drop' | StreamNext {
+    if (this.hasTokensWithoutIds) return 'deliver';
     const chunk = parseChunk(event.data);
-    const opening = this.upstreams === 1 && this.limits.fromToken === 0;
+    const isStreamStart = this.sourceCount === 1 && this.limits.fromToken === 0;
     if (chunk === undefined || chunk.choices?.some(c => c.delta?.content)) {
-      // Without ids it cannot be told which of these the caller has.
-      if (!opening) return {kind: 'cut', cause: 'tokens without ids'};
-      this.hasUntracked = true;
+      // Without ids it is unknown which of these tokens the caller already has.
+      if (!isStreamStart) return {kind: 'cut', cause: 'tokens without ids'};
+      this.hasTokensWithoutIds = true;
       return 'deliver';
     }
-    const stated = chunk.system_fingerprint;
+    const fingerprint = chunk.system_fingerprint;
     const mismatch =
-      stated && !this.identified ? this.identify(stated) : undefined;
+      fingerprint && !this.versionChecked
+        ? this.checkVersion(fingerprint)
+        : undefined;
     if (mismatch !== undefined) return {kind: 'cut', cause: mismatch};
-    return this.takeNote(chunk) || opening ? 'deliver' : 'drop';
+    return this.recordEndMetadata(chunk) || isStreamStart ? 'deliver' : 'drop';
   }
 
-  /** Whether the caller is still owed this note on the end of the answer. */
-  private takeNote(chunk: Chunk): boolean {
-    const finishes = finishOf(chunk) === 'told' && !this.hasFinishReason;
-    const counts = Boolean(chunk.usage) && !this.hasUsage;
-    this.hasFinishReason ||= finishes;
-    this.hasUsage ||= counts;
-    return finishes || counts;
+  /**
+   * Records a finish reason or usage; returns whether it is new to the caller.
+   */
+  private recordEndMetadata(chunk: Chunk): boolean {
+    const isNewFinishReason =
+      finishStateOf(chunk) === 'finished' && !this.hasFinishReason;
+    const isNewUsage = Boolean(chunk.usage) && !this.hasUsage;
+    this.hasFinishReason ||= isNewFinishReason;
+    this.hasUsage ||= isNewUsage;
+    return isNewFinishReason || isNewUsage;
   }
 
   private finish(): StreamNext {
-    const mismatch = this.identified
+    const mismatch = this.versionChecked
       ? undefined
-      : this.identify(this.claimedVersion);
+      : this.checkVersion(this.announcedVersion);
     if (mismatch !== undefined) return {kind: 'cut', cause: mismatch};
-    // A target that starts anew and ends before the point that the caller has
-    // reached gave another answer; its end would pass for the end of ours.
-    if (this.lastSeen !== undefined && this.lastSeen + 1 < this.nextToken)
+    // The target restarted from the first token and ended before the resume
+    // point, so its text differs, and its end is not the end of this stream.
+    if (
+      this.highestToken !== undefined &&
+      this.highestToken + 1 < this.nextToken
+    )
       return {kind: 'cut', cause: 'answer differs'};
-    if (!this.mayEnd()) return {kind: 'lost', cause: 'ended early'};
+    if (!this.isComplete()) return {kind: 'lost', cause: 'ended early'};
     return {kind: 'done'};
   }
 
   /**
-   * A target that shuts down may end a stream in good form though tokens are
-   * missing; the last token then carries no reason for having finished.
+   * A target that shuts down may send a well-formed end although tokens are
+   * missing. The finish reason of the last token is then null.
    */
-  private mayEnd(): boolean {
-    if (this.hasFinishReason || this.hasUntracked) return true;
+  private isComplete(): boolean {
+    if (this.hasFinishReason || this.hasTokensWithoutIds) return true;
     if (this.lastTokenData !== undefined)
-      return finishOf(parseChunk(this.lastTokenData)) !== 'open';
+      return finishStateOf(parseChunk(this.lastTokenData)) !== 'open';
     return this.limits.fromToken > 0;
   }
 }
 
-/** Whether a chunk tells that its answer has finished. */
-function finishOf(chunk: Chunk | undefined): 'told' | 'open' | 'not told' {
+/**
+ * Whether a chunk has a finish reason, has it as null, or does not state it.
+ */
+function finishStateOf(
+  chunk: Chunk | undefined
+): 'finished' | 'open' | 'unstated' {
   const reasons = chunk?.choices?.map(choice => choice.finish_reason) ?? [];
-  if (reasons.some(reason => typeof reason === 'string')) return 'told';
-  return reasons.includes(null) ? 'open' : 'not told';
+  if (reasons.some(reason => typeof reason === 'string')) return 'finished';
+  return reasons.includes(null) ? 'open' : 'unstated';
 }
 
 function parseChunk(data: string): Chunk | undefined {
--- a/src/entry/chat/streamResumer.ts
+++ b/src/entry/chat/streamResumer.ts
@@ -1,6 +1,6 @@
 /**
- * Relays a token stream to a caller, from one target after the other. Holds
- * no more than one chunk beyond what the caller's own socket buffers.
+ * Relays a token stream to a caller and resumes it at another target after a
+ * loss. Buffers at most one chunk beyond the buffer of the caller's socket.
  */
 
 import type {Readable, Writable} from 'node:stream';
@@ -15,40 +15,40 @@
   StreamNext,
 } from './streamMachine';
 
-/** One target's answer that carries the stream. */
+/** The response of one target that carries the stream. */
 export interface StreamSource {
   readonly body: Readable;
-  /** Target that answers, for errors. */
+  /** Id of the target, for refusals. */
   readonly peer: string;
-  /** Version that the target announced, where known. */
+  /** Model version that the target announced, where known. */
   readonly modelVersion?: string;
   /** Stops the work at the target. */
   cancel(): void;
 }
 
-/** All that one relay needs. */
-export interface StreamRelay {
+/** Options of one relay. */
+export interface StreamRelayOptions {
   readonly source: StreamSource;
-  /** Its head has been written; nothing else has. */
+  /** The caller's response; its head has been written, and nothing else. */
   readonly caller: Writable;
   readonly limits: StreamLimits;
-  /** Longest wait for the first token of each source, in milliseconds. */
+  /** Timeout for the first token of each source, in milliseconds. */
   readonly firstTokenTimeoutMs: number;
-  /** Longest wait between tokens, in milliseconds. */
+  /** Timeout for each further token, in milliseconds. */
   readonly tokenTimeoutMs: number;
-  /** Longest wait for a caller that reads nothing, in milliseconds. */
+  /** Timeout for a caller that reads nothing, in milliseconds. */
   readonly callerTimeoutMs: number;
   /** Aborts at the deadline of the request. */
   readonly signal: CancelSignal;
-  /** Another target of the same model and version; rejects when none can. */
+  /** Opens the stream at a target of the same version; rejects if none can. */
   reopen(point: ResumePoint): Promise<StreamSource>;
-  /** The JSON of the last event of a stream that is cut. */
-  describe(refusal: Refusal): string;
+  /** Formats the data of the error event that ends a cut stream. */
+  errorEventData(refusal: Refusal): string;
   onResumed?(cause: LossCause): void;
   onTokens?(count: number): void;
 }
 
-/** How a relay ended. The caller's stream is then ended or destroyed. */
+/** How a relay ended. The caller's response is ended or destroyed by then. */
 export type StreamEnd =
   | {readonly kind: 'done'; readonly delivered: number}
   | {readonly kind: 'caller gone'; readonly delivered: number}
@@ -62,10 +62,12 @@
 type SourceEnd =
   Exclude<StreamNext, {readonly kind: 'continue'}> | {readonly kind: 'gone'};
 
-/** Resolves when the caller has got all, or an error, or has gone. */
-export async function relayStream(relay: StreamRelay): Promise<StreamEnd> {
+/** Resolves when the caller has the whole stream, an error, or disconnects. */
+export async function relayStream(
+  relay: StreamRelayOptions
+): Promise<StreamEnd> {
   const machine = new StreamMachine(relay.limits);
-  // Whatever fails at the caller shows as its close, which is handled.
+  // An error of the caller's connection is followed by 'close', handled below.
   relay.caller.on('error', () => undefined);
   let source = relay.source;
   for (;;) {
@@ -75,7 +77,7 @@
     source.cancel();
     if (end.kind === 'gone')
       return {kind: 'caller gone', delivered: machine.delivered};
-    const next = await afterLoss(relay, machine, end);
+    const next = await handleLoss(relay, machine, end);
     if (next.kind === 'gone')
       return {kind: 'caller gone', delivered: machine.delivered};
     if (next.kind === 'cut')
@@ -84,16 +86,16 @@
   }
 }
 
-type AfterLoss =
+type LossResult =
   | {readonly kind: 'source'; readonly source: StreamSource}
   | {readonly kind: 'gone'}
   | {readonly kind: 'cut'; readonly cause: CutCause; readonly detail: string};
 
-async function afterLoss(
-  relay: StreamRelay,
+async function handleLoss(
+  relay: StreamRelayOptions,
   machine: StreamMachine,
   end: Extract<SourceEnd, {readonly kind: 'lost' | 'cut'}>
-): Promise<AfterLoss> {
+): Promise<LossResult> {
   const decision = end.kind === 'lost' ? machine.lost(end.cause) : end;
   if (decision.kind === 'cut')
     return {kind: 'cut', cause: decision.cause, detail: end.cause};
@@ -118,7 +120,7 @@
 }
 
 function finish(
-  relay: StreamRelay,
+  relay: StreamRelayOptions,
   machine: StreamMachine
 ): Promise<StreamEnd> {
   const {caller, callerTimeoutMs} = relay;
@@ -135,12 +137,12 @@
 }
 
 /**
- * The last event names the refusal, and the connection is destroyed after it:
- * a reader that ignores events still sees that the answer is not whole. The
- * refusal is never the one of the attempt to resume, which may say "not run".
+ * Sends the refusal as the last event, then destroys the connection, so that a
+ * caller which ignores error events still sees that the stream is incomplete.
+ * The refusal is never that of the failed resumption, which may say "not run".
  */
 function cut(
-  relay: StreamRelay,
+  relay: StreamRelayOptions,
   machine: StreamMachine,
   peer: string,
   cause: CutCause,
@@ -153,29 +155,29 @@
     peer,
     detail: `${cause} after ${delivered} tokens (${detail})`,
   };
-  const text = `event: error\ndata: ${relay.describe(refusal)}\n\n`;
+  const text = `event: error\ndata: ${relay.errorEventData(refusal)}\n\n`;
   return new Promise(resolve => {
     const end = () => {
-      clearTimeout(grace);
+      clearTimeout(closeTimer);
       relay.caller.destroy();
       resolve({kind: 'cut', delivered, refusal});
     };
-    const grace = setTimeout(end, relay.callerTimeoutMs);
+    const closeTimer = setTimeout(end, relay.callerTimeoutMs);
     relay.caller.once('close', end);
     relay.caller.write(text, end);
   });
 }
 
-/** Moves one source's bytes until it ends, one way or another. */
+/** Relays one source until it ends, is lost, or the caller disconnects. */
 class SourcePump {
   private readonly listeners: (() => void)[] = [];
   private timer: NodeJS.Timeout | undefined;
-  /** What the timer waits for the source; undefined while it is not awaited. */
-  private awaitedMs: number | undefined;
+  /** Duration of the running stall timer; undefined while none runs. */
+  private armedTimeoutMs: number | undefined;
   private resolve: (end: SourceEnd) => void = () => undefined;
 
   constructor(
-    private readonly relay: StreamRelay,
+    private readonly relay: StreamRelayOptions,
     private readonly machine: StreamMachine,
     private readonly source: StreamSource
   ) {}
@@ -185,63 +187,63 @@
     const {body} = this.source;
     return new Promise(resolve => {
       this.resolve = resolve;
-      // Outlives the pump: a destroyed source may still report its error.
+      // Not removed at the end: a destroyed source may still emit an error.
       body.on('error', () => this.end(lost('connection lost')));
       if (caller.destroyed) return this.end({kind: 'gone'});
-      if (signal.aborted) return this.end(DEADLINE);
+      if (signal.aborted) return this.end(DEADLINE_PASSED);
       if (body.destroyed) return this.end(lost('connection lost'));
       this.listen(caller, 'close', () => this.end({kind: 'gone'}));
       this.listen(body, 'end', () => this.end(lost('ended early')));
       this.listen(body, 'close', () => this.end(lost('connection lost')));
-      const abort = () => this.end(DEADLINE);
+      const abort = () => this.end(DEADLINE_PASSED);
       signal.addEventListener('abort', abort);
       this.listeners.push(() => signal.removeEventListener('abort', abort));
-      this.await(this.relay.firstTokenTimeoutMs);
-      this.listen(body, 'data', chunk => this.take(chunk as Buffer));
+      this.armTimer(this.relay.firstTokenTimeoutMs);
+      this.listen(body, 'data', chunk => this.handleChunk(chunk as Buffer));
       body.resume();
     });
   }
 
-  private take(chunk: Buffer): void {
+  private handleChunk(chunk: Buffer): void {
     const step = this.machine.chunk(chunk);
     if (step.tokens > 0) {
       this.relay.onTokens?.(step.tokens);
-      this.await(this.relay.tokenTimeoutMs);
+      this.armTimer(this.relay.tokenTimeoutMs);
     }
-    const room = step.text === '' || this.relay.caller.write(step.text);
+    const hasRoom = step.text === '' || this.relay.caller.write(step.text);
     if (step.next.kind !== 'continue') return this.end(step.next);
-    if (!room) this.pause();
+    if (!hasRoom) this.pause();
   }
 
-  /** Back-pressure: while the caller is slow the source is not to blame. */
+  /** Back-pressure: while the caller is slow, the source is not timed. */
   private pause(): void {
     const {caller, callerTimeoutMs, tokenTimeoutMs} = this.relay;
     this.source.body.pause();
     clearTimeout(this.timer);
-    this.awaitedMs = undefined;
-    // A caller that reads nothing would hold a place at the target for ever.
+    this.armedTimeoutMs = undefined;
+    // A caller that reads nothing would occupy a slot at the target forever.
     this.timer = setTimeout(() => caller.destroy(), callerTimeoutMs);
     this.listenOnce(caller, 'drain', () => {
-      this.await(tokenTimeoutMs);
+      this.armTimer(tokenTimeoutMs);
       this.source.body.resume();
     });
   }
 
-  private await(timeoutMs: number): void {
-    if (timeoutMs === this.awaitedMs) {
-      // After every token but the first: anew costs three times as much.
+  private armTimer(timeoutMs: number): void {
+    if (timeoutMs === this.armedTimeoutMs) {
+      // For every token but the first; a new timer costs three times as much.
       this.timer?.refresh();
       return;
     }
     clearTimeout(this.timer);
-    this.awaitedMs = timeoutMs;
+    this.armedTimeoutMs = timeoutMs;
     this.timer = setTimeout(() => this.end(lost('stalled')), timeoutMs);
   }
 
   private end(end: SourceEnd): void {
     clearTimeout(this.timer);
     for (const remove of this.listeners.splice(0)) remove();
-    // Lets a kept connection run dry, so that it can be used again.
+    // Reads the body to its end, so that the connection can be reused.
     if (end.kind === 'done') this.source.body.resume();
     this.resolve(end);
   }
@@ -265,7 +267,7 @@
   }
 }
 
-const DEADLINE: SourceEnd = {kind: 'cut', cause: 'deadline passed'};
+const DEADLINE_PASSED: SourceEnd = {kind: 'cut', cause: 'deadline passed'};
 
 function lost(cause: LossCause): SourceEnd {
   return {kind: 'lost', cause};
--- a/src/entry/chat/wholeAnswer.ts
+++ b/src/entry/chat/wholeAnswer.ts
@@ -1,51 +1,52 @@
 /**
- * Relays an answer that must arrive whole. Up to a bound it is held back, so
- * that the loss of a target can be mended before the caller has seen a byte;
- * a larger one passes through, and its loss destroys the connection.
+ * Relays a response that must not look complete when it is not. Up to a size it
+ * is held back until it is complete, so that the call can be retried at another
+ * target before the caller has received a byte. A larger one is streamed; when
+ * it is lost, the caller's connection is destroyed.
  */
 
 import type {Readable, Writable} from 'node:stream';
 import type {CancelSignal} from '../../core/cancellation';
 
-/** One target's answer. */
-export interface WholeSource {
+/** The response of one target. */
+export interface ResponseSource {
   readonly body: Readable;
-  /** Whether all of the body came, as its length or last chunk tells. */
+  /** Whether the whole body arrived, by its content length or last chunk. */
   complete(): boolean;
   cancel(): void;
 }
 
-/** All that one relay needs. */
-export interface WholeRelay<S extends WholeSource> {
+/** Options of one relay. */
+export interface ResponseRelayOptions<S extends ResponseSource> {
   readonly source: S;
   readonly caller: Writable;
-  /** Bytes held back at most. */
-  readonly holdBytes: number;
+  /** Maximum number of body bytes to hold back. */
+  readonly maxHeldBytes: number;
   readonly signal: CancelSignal;
   /** Writes status and headers; called once, before any byte of the body. */
   writeHead(source: S): void;
-  /** Adds trailers and ends the caller's answer; its body is all written. */
+  /** Adds trailers and ends the response; its whole body has been written. */
   writeEnd(source: S): void;
-  /** Another attempt, for idempotent calls only; rejects when none is left. */
+  /** Makes another attempt; for idempotent calls. Rejects when none is left. */
   retry?(detail: string): Promise<S>;
 }
 
 /** How a relay ended. */
-export type WholeEnd<S> =
+export type ResponseRelayEnd<S> =
   | {readonly kind: 'done'; readonly source: S}
   | {readonly kind: 'caller gone'}
-  /** Nothing was written; the caller is owed a refusal, outcome unknown. */
+  /** Nothing was written; the caller must get a refusal, outcome unknown. */
   | {readonly kind: 'lost'; readonly detail: string; readonly err?: unknown}
-  /** The head had gone out; the connection was destroyed. */
+  /** The head had been written; the connection was destroyed. */
   | {readonly kind: 'cut'; readonly detail: string};
 
-/** Resolves when the answer is written, lost or cut. */
-export async function relayWhole<S extends WholeSource>(
-  relay: WholeRelay<S>
-): Promise<WholeEnd<S>> {
+/** Resolves when the response is written, lost or cut. */
+export async function relayResponse<S extends ResponseSource>(
+  relay: ResponseRelayOptions<S>
+): Promise<ResponseRelayEnd<S>> {
   let source = relay.source;
   for (;;) {
-    const end = await relayOne(relay, source);
+    const end = await relayFrom(relay, source);
     if (end.kind !== 'done') source.cancel();
     if (end.kind !== 'lost' || relay.retry === undefined) return end;
     if (relay.signal.aborted) return end;
@@ -60,49 +61,49 @@
   }
 }
 
-async function relayOne<S extends WholeSource>(
-  relay: WholeRelay<S>,
+async function relayFrom<S extends ResponseSource>(
+  relay: ResponseRelayOptions<S>,
   source: S
-): Promise<WholeEnd<S>> {
+): Promise<ResponseRelayEnd<S>> {
   const {caller, signal} = relay;
-  const head = new HeldHead(relay, source);
-  const stop = () => source.body.destroy();
-  caller.once('close', stop);
-  signal.addEventListener('abort', stop, {once: true});
-  if (caller.destroyed || signal.aborted) stop();
+  const heldResponse = new HeldResponse(relay, source);
+  const destroySource = () => source.body.destroy();
+  caller.once('close', destroySource);
+  signal.addEventListener('abort', destroySource, {once: true});
+  if (caller.destroyed || signal.aborted) destroySource();
   try {
-    await passAll(source.body, caller, chunk => head.pass(chunk));
+    await pipeBody(source.body, caller, chunk => heldResponse.pass(chunk));
     if (!source.complete()) throw new Error('the answer was cut short');
-    head.release();
+    heldResponse.release();
     relay.writeEnd(source);
     return {kind: 'done', source};
   } catch (err) {
     const detail = err instanceof Error ? err.message : String(err);
     if (caller.destroyed) return {kind: 'caller gone'};
-    if (!head.released) return {kind: 'lost', detail};
+    if (!heldResponse.released) return {kind: 'lost', detail};
     caller.destroy();
     return {kind: 'cut', detail};
   } finally {
-    caller.off('close', stop);
-    signal.removeEventListener('abort', stop);
+    caller.off('close', destroySource);
+    signal.removeEventListener('abort', destroySource);
   }
 }
 
-/** Holds back the head and first bytes of an answer, up to the bound. */
-class HeldHead<S extends WholeSource> {
+/** Holds back the head and first bytes of a response, up to `maxHeldBytes`. */
+class HeldResponse<S extends ResponseSource> {
   private held: Buffer[] = [];
   private size = 0;
   released = false;
 
   constructor(
-    private readonly relay: WholeRelay<S>,
+    private readonly relay: ResponseRelayOptions<S>,
     private readonly source: S
   ) {}
 
-  /** Takes a chunk; false when the caller must drain first. */
+  /** Holds or writes a chunk; false when the caller must drain first. */
   pass(chunk: Buffer): boolean {
     this.size += chunk.length;
-    if (!this.released && this.size <= this.relay.holdBytes) {
+    if (!this.released && this.size <= this.relay.maxHeldBytes) {
       this.held.push(chunk);
       return true;
     }
@@ -119,10 +120,10 @@
 }
 
 /**
- * Resolves at the end of the body; rejects when it is cut off. Reads by events:
- * an iterator costs several promises a chunk.
+ * Resolves at the end of the body; rejects when it is cut off. Uses events,
+ * since an async iterator costs several promises per chunk.
  */
-function passAll(
+function pipeBody(
   body: Readable,
   caller: Writable,
   pass: (chunk: Buffer) => boolean
@@ -139,7 +140,8 @@
     body.once('end', resolve);
     body.once('error', reject);
     body.once('close', () => {
-      // Every answer closes; the stack of an error for nobody costs time.
+      // Every body emits 'close'; an error is created only if needed, as its
+      // stack trace costs time.
       if (!body.readableEnded) reject(new Error('the answer broke off'));
     });
     if (body.destroyed) reject(new Error('the answer broke off'));
--- a/src/entry/dispatchOnce.ts
+++ b/src/entry/dispatchOnce.ts
@@ -1,4 +1,4 @@
-/** One attempt at one target: the dispatch, and what its outcome proves. */
+/** Sends one attempt to one target, and determines what its outcome proves. */
 
 import type {IncomingMessage} from 'node:http';
 import type {CancelSignal} from '../core/cancellation';
@@ -19,7 +19,7 @@
 
 const LAST_EVENT_HEADER = 'last-event-id';
 
-/** One attempt. */
+/** Parameters of one attempt. */
 export interface Attempt {
   readonly number: number;
   readonly target: Announcement;
@@ -29,7 +29,7 @@
   readonly signal: CancelSignal;
 }
 
-/** What came of it; the body of an answer is still to be read. */
+/** Outcome of an attempt; the body of a response is still to be read. */
 export type AttemptOutcome =
   | {
       readonly kind: 'answered';
@@ -38,8 +38,8 @@
     }
   | {readonly kind: 'refused'; readonly refusal: Refusal};
 
-/** Never rejects: every failure is an outcome that says what it proves. */
-export async function dispatchOnce(
+/** Turns a failed connection into a refusal by whether it may have run. */
+export async function dispatchAttempt(
   core: EntryCore,
   call: ClassifiedCall,
   attempt: Attempt
@@ -50,7 +50,8 @@
       secure: true,
       host: target.host,
       port: target.port,
-      agent: call.once === undefined ? core.keptAgent : core.singleAgent,
+      agent:
+        call.once === undefined ? core.keepAliveAgent : core.singleUseAgent,
       method: call.req.method ?? 'GET',
       path: call.req.url ?? '/',
       headers: dispatchHeaders(core, call, attempt),
@@ -95,7 +96,7 @@
     customer: call.customer,
     pool: call.pool,
     revision: call.rules.revision,
-    remainingMs: startWithinMs(call, attempt),
+    remainingMs: timeToStartMs(call, attempt),
     attempt: attempt.number,
     cost: attempt.cost,
     idempotent: call.once === undefined,
@@ -112,17 +113,18 @@
   if (call.body.kind === 'buffered')
     own['content-length'] = String(call.body.bytes.length);
   const headers = relayedHeaders(call.req.rawHeaders, own);
-  // A target that saw the caller's own header would resume unasked.
+  // A target that received the caller's Last-Event-ID would resume by itself.
   return call.chat === undefined
     ? headers
     : withoutHeader(headers, LAST_EVENT_HEADER);
 }
 
 /**
- * Time in which the request must start. One that waits longer than a caller
- * waits for the first token gets its refusal while it can still be of use.
+ * Time within which the request must start at the target. It is at most what is
+ * left of the first-token limit, so that a request which queues for too long is
+ * refused while its caller still waits for the first token.
  */
-function startWithinMs(
+function timeToStartMs(
   {progress, limit, chat}: ClassifiedCall,
   {resumeFrom}: Attempt
 ): number {
@@ -137,7 +139,7 @@
   return Math.max(0, Math.min(leftMs, limit.firstTokenMs - elapsedMs));
 }
 
-/** An answer without a report did not come from an agent, so proves nothing. */
+/** A response without a report is not from an agent, so it proves nothing. */
 function readHead(
   core: EntryCore,
   target: Announcement,
--- a/src/entry/entryCore.ts
+++ b/src/entry/entryCore.ts
@@ -1,4 +1,4 @@
-/** What the parts of one entry share. */
+/** Dependencies shared by the components of one entry. */
 
 import type https from 'node:https';
 import type {Logger} from '../core/logger';
@@ -9,18 +9,19 @@
 import type {UsageCounter} from './usageCounter';
 import type {ZoneReturns} from './zoneReturns';
 
-/** One entry's parts. */
+/** Identity, shared state and services of one entry. */
 export interface EntryCore {
   readonly entryId: string;
   readonly availabilityZone: string;
   readonly sync: ControlSync;
   readonly load: TargetLoad;
-  readonly budgets: RetryBudgets;
+  readonly retryBudgets: RetryBudgets;
   readonly usage: UsageCounter;
   readonly zoneReturns: ZoneReturns;
-  /** Connections to agents: kept open, and one for each call. */
-  readonly keptAgent: https.Agent;
-  readonly singleAgent: https.Agent;
+  /** Pools keep-alive connections to agents. */
+  readonly keepAliveAgent: https.Agent;
+  /** Opens a new connection to an agent for each request. */
+  readonly singleUseAgent: https.Agent;
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly random: () => number;
--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -34,8 +34,8 @@
     const {process, internal, control} = settings;
     const usage = new UsageCounter();
     const traffic = new PeerTraffic();
-    const keptAgent = createPeerAgent(internal.key, process.id);
-    const singleAgent = new https.Agent({
+    const keepAliveAgent = createPeerAgent(internal.key, process.id);
+    const singleUseAgent = new https.Agent({
       ...clientTls(internal.key, process.id),
       keepAlive: false,
     });
@@ -45,7 +45,7 @@
       bootId: newBootId(),
       availabilityZone: process.availabilityZone,
       instances: control.instances.map(
-        address => new PeerClient(address, keptAgent, traffic)
+        address => new PeerClient(address, keepAliveAgent, traffic)
       ),
       pollMs: control.pollMs,
       proofMs: control.proofMs,
@@ -61,11 +61,11 @@
         availabilityZone: process.availabilityZone,
         sync,
         load: new TargetLoad(),
-        budgets: new RetryBudgets(),
+        retryBudgets: new RetryBudgets(),
         usage,
         zoneReturns,
-        keptAgent,
-        singleAgent,
+        keepAliveAgent,
+        singleUseAgent,
         logger,
         metrics,
         random: Math.random,
@@ -76,18 +76,20 @@
     sync.start();
     const subscription = traffic.report(metrics);
     subscription.add(
-      sync.rules$.subscribe(held => {
-        if (held !== undefined)
-          zoneReturns.follow(held.index, performance.now());
+      sync.rules$.subscribe(active => {
+        if (active !== undefined)
+          zoneReturns.update(active.index, performance.now());
       })
     );
     return new EntryProcess(port, server, sync, metrics, subscription);
   }
 
-  /** Every request in hand gets its whole answer; see CallerServer.drain. */
+  /**
+   * Completes every request in progress, then stops; see CallerServer.drain.
+   */
   async drain(): Promise<void> {
     await this.server.drain();
-    // The last calls are charged for as well.
+    // Reports the usage of the last calls, so that they are billed.
     await this.sync.announceNow();
     await this.stop();
   }
--- a/src/entry/filters/classify.ts
+++ b/src/entry/filters/classify.ts
@@ -1,4 +1,4 @@
-/** Finds the pool, the limits and the kind of a call, and reads its body. */
+/** Determines the pool, limits and kind of a call, and reads its body. */
 
 import {Progress} from '../../core/progress';
 import {refuse} from '../../core/refusal';
@@ -11,23 +11,23 @@
   parseCallerResume,
   parseChatRequest,
 } from '../chat/chatRequest';
-import {readBodyInTime} from '../readBodyInTime';
+import {readBodyBeforeDeadline} from '../readBodyInTime';
 
-/** Bodies up to this size are held, so that the call can be retried. */
+/** Bodies up to this size are buffered, so that the call can be retried. */
 const MAX_REPLAY_BYTES = 64 * 1024;
 const PRIORITY_HEADER = 'x-priority';
 const LAST_EVENT_HEADER = 'last-event-id';
 const MODEL_VERSION_HEADER = 'marlpulley-model-version';
 const MAX_PRIORITY = 9;
 
-/** What classifying needs of its surroundings. */
+/** Options of the filter. */
 export interface ClassifyOptions {
   readonly entryId: string;
   readonly maxBodyBytes: number;
   readonly random: () => number;
 }
 
-/** Refuses calls that no rule routes, and bodies that are too large. */
+/** Refuses calls without a route, and malformed, late or too large bodies. */
 export function classify(
   options: ClassifyOptions
 ): Filter<IdentifiedCall, ClassifiedCall> {
@@ -53,14 +53,14 @@
       performance.now() + limit.timeoutMs,
       options.entryId
     );
-    const body = await takeBody(
+    const body = await readOrStreamBody(
       call,
       progress,
       isChat || once !== undefined,
       options
     );
     const chat = isChat ? readChat(body, options.entryId) : undefined;
-    assertServed(rules, pool, chat, options.entryId);
+    assertModelServed(rules, pool, chat, options.entryId);
     const resume =
       chat?.stream === true ? readResume(call, options.entryId) : undefined;
     const priority = priorityOf(call);
@@ -82,8 +82,8 @@
   };
 }
 
-/** Where rules name the models of a pool, waiting for another is in vain. */
-function assertServed(
+/** Refuses a model that the pool's rules do not list: no target serves it. */
+function assertModelServed(
   rules: RuleIndex,
   pool: string,
   chat: ChatRequest | undefined,
@@ -96,7 +96,7 @@
   throw refuse('no-route', 'classify', entryId, detail);
 }
 
-/** Picks in proportion to the weights. */
+/** Picks a pool at random, in proportion to the weights. */
 function pickPool(
   routes: readonly RouteCandidate[],
   random: () => number
@@ -119,32 +119,36 @@
 
 function readResume({req}: IdentifiedCall, entryId: string) {
   const version = req.headers[MODEL_VERSION_HEADER];
-  const known = typeof version === 'string' ? version : undefined;
+  const modelVersion = typeof version === 'string' ? version : undefined;
   return parseCallerResume(
     req.headers[LAST_EVENT_HEADER]?.toString(),
-    known,
+    modelVersion,
     entryId
   );
 }
 
-async function takeBody(
+async function readOrStreamBody(
   {req, res}: IdentifiedCall,
   progress: Progress,
-  mustHold: boolean,
+  mustBuffer: boolean,
   {entryId, maxBodyBytes}: ClassifyOptions
 ): Promise<CallBody> {
   if (!hasBody(req)) return {kind: 'none'};
   const length = Number(req.headers['content-length'] ?? Infinity);
-  const streams = !mustHold && length > MAX_REPLAY_BYTES;
+  const isStreamed = !mustBuffer && length > MAX_REPLAY_BYTES;
   const tooLarge = `more than ${maxBodyBytes} bytes`;
-  if (!streams && length !== Infinity && length > maxBodyBytes) {
+  if (!isStreamed && length !== Infinity && length > maxBodyBytes) {
     throw refuse('body-too-large', 'classify', entryId, tooLarge);
   }
-  // Only now is the body wanted: a caller that asked first and is refused need
-  // not send it.
+  // Sent only after the checks above, so that a refused caller sends no body.
   if (req.headers.expect !== undefined) res.writeContinue();
-  if (streams) return {kind: 'streaming'};
-  const bytes = await readBodyInTime(req, maxBodyBytes, progress, entryId);
+  if (isStreamed) return {kind: 'streaming'};
+  const bytes = await readBodyBeforeDeadline(
+    req,
+    maxBodyBytes,
+    progress,
+    entryId
+  );
   if (bytes === undefined)
     throw refuse('body-too-large', 'classify', entryId, tooLarge);
   return {kind: 'buffered', bytes};
--- a/src/entry/hedge.ts
+++ b/src/entry/hedge.ts
@@ -1,43 +1,46 @@
 /** A second attempt beside a slow first one, for calls that may run twice. */
 
-/** What came of one of the two attempts. */
-export type HedgeEnd = {readonly kind: 'answered' | 'refused'};
+/** Outcome of one of the two attempts. */
+export type HedgeOutcome = {readonly kind: 'answered' | 'refused'};
 
-/** One attempt under way. */
-export interface HedgeLeg<T extends HedgeEnd> {
+/** One attempt in progress. */
+export interface HedgedAttempt<T extends HedgeOutcome> {
   readonly outcome: Promise<T>;
-  /** Breaks it off; its outcome is then never used. */
+  /** Cancels it; its outcome is ignored from then on. */
   cancel(): void;
 }
 
 /**
- * Resolves with the first answer of the two, or with the last refusal. The
- * second leg starts when the first has shown nothing for `afterMs`, and only
- * if `startSecond` can afford it. The slower leg is cancelled.
+ * Resolves with the first response of the two attempts, or with the last
+ * refusal if both are refused. The second attempt starts when the first has no
+ * outcome after `afterMs`, unless `startSecond` returns undefined. The slower
+ * attempt is cancelled when the other one gets a response.
  */
-export async function hedged<T extends HedgeEnd>(
-  first: HedgeLeg<T>,
+export async function runHedged<T extends HedgeOutcome>(
+  first: HedgedAttempt<T>,
   afterMs: number,
-  startSecond: () => HedgeLeg<T> | undefined
+  startSecond: () => HedgedAttempt<T> | undefined
 ): Promise<T> {
-  const early = await withinTime(first.outcome, afterMs);
-  if (early !== undefined) return early;
+  const firstOutcome = await withTimeout(first.outcome, afterMs);
+  if (firstOutcome !== undefined) return firstOutcome;
   const second = startSecond();
   if (second === undefined) return first.outcome;
-  const legs = [first, second];
-  const winner = await Promise.race(legs.map(leg => tagged(leg)));
-  const other = legs.find(leg => leg !== winner.leg) ?? first;
+  const attempts = [first, second];
+  const winner = await Promise.race(
+    attempts.map(attempt => withAttempt(attempt))
+  );
+  const other = attempts.find(attempt => attempt !== winner.attempt) ?? first;
   if (winner.end.kind === 'refused') return other.outcome;
   other.cancel();
   return winner.end;
 }
 
-async function tagged<T extends HedgeEnd>(leg: HedgeLeg<T>) {
-  return {leg, end: await leg.outcome};
+async function withAttempt<T extends HedgeOutcome>(attempt: HedgedAttempt<T>) {
+  return {attempt, end: await attempt.outcome};
 }
 
-/** Undefined when the time runs out first. */
-function withinTime<T>(
+/** Resolves with undefined if there is no outcome in time. */
+function withTimeout<T>(
   outcome: Promise<T>,
   ms: number
 ): Promise<T | undefined> {
--- a/src/entry/onceMachine.ts
+++ b/src/entry/onceMachine.ts
@@ -1,7 +1,7 @@
 /**
- * Decides each step of a call that is not idempotent. Pure: the driver in
- * serveOnce.ts does what it is told and reports what came of it, and the fuzz
- * model drives the same decisions under faults.
+ * Decides each step of a call that is not idempotent. It does no I/O: the
+ * driver in serveOnce.ts carries out its actions and reports the results, and
+ * the fuzz model runs the same decisions under injected faults.
  */
 
 import type {
@@ -14,12 +14,14 @@
 import {REFUSALS, Refusal} from '../core/refusal';
 import type {FenceClaimAnswer} from '../rpc/messages';
 
-/** A claim younger than this is surely still being worked on. */
-export const SETTLE_AFTER_MS = 3_000;
-const ASK_AGAIN_MS = 200;
+/** A claim that has been pending for less time is assumed to be in progress. */
+export const FENCE_PENDING_AFTER_MS = 3_000;
+const CLAIM_RETRY_INTERVAL_MS = 200;
 const RETRY_AFTER_MS = 1_000;
 
-/** A target as far as the decisions need it. */
+/**
+ * The target of a claim, and the boot of its agent that the claim is bound to.
+ */
 export interface OnceTarget {
   readonly targetId: string;
   readonly agentBootId: string;
@@ -29,14 +31,16 @@
 export type OnceAction =
   | {readonly kind: 'route'; readonly tried: ReadonlySet<string>}
   | {readonly kind: 'claim'; readonly target: OnceTarget}
-  /** Asks for the record of the key without claiming it. */
+  /** Reads the record of the key without claiming it. */
   | {readonly kind: 'lookup'}
   | {
       readonly kind: 'dispatch';
       readonly target: OnceTarget;
       readonly attempt: number;
     }
-  /** Asks the boot that a claim was bound to what became of it. */
+  /**
+   * Fences a claim: its agent reports whether it ran, or bars it from running.
+   */
   | {
       readonly kind: 'ask';
       readonly target: OnceTarget;
@@ -48,7 +52,9 @@
       readonly settlement: Settlement;
     }
   | {readonly kind: 'wait'; readonly ms: number}
-  /** The end; an answer that is not yet on record is settled beside it. */
+  /**
+   * Ends the call. With `settleAttempt`, the response is still to be recorded.
+   */
   | {
       readonly kind: 'answer';
       readonly answer: RecordedAnswer;
@@ -56,15 +62,15 @@
     }
   | {readonly kind: 'refuse'; readonly refusal: Refusal};
 
-/** What an agent tells, or why it could not be asked. */
+/** What an agent reports of a claim, or why it could not be asked. */
 export type AskResult =
   | FenceClaimAnswer
-  /** It did not answer in time. */
+  /** It could not be reached, or did not respond in time. */
   | {readonly kind: 'no answer'}
-  /** No control instance hears of it any more. */
+  /** A majority of control responded, and none of it knows the target. */
   | {readonly kind: 'gone'};
 
-/** What came of the last action. */
+/** The result of the last action. */
 export type OnceEvent =
   | {readonly kind: 'routed'; readonly target: OnceTarget}
   | {readonly kind: 'no target'; readonly detail: string}
@@ -86,12 +92,12 @@
   | {readonly kind: 'answered'; readonly answer: RecordedAnswer}
   | {readonly kind: 'refused'; readonly refusal: Refusal}
   | {readonly kind: 'asked'; readonly result: AskResult}
-  /** Whether control took it; a settlement that it did not take is repeated by a resend. */
+  /** Also if control did not record it; a resend of the key then settles it. */
   | {readonly kind: 'settled'}
   | {readonly kind: 'waited'}
   | {readonly kind: 'deadline'};
 
-interface Dispatched {
+interface BoundClaim {
   readonly target: OnceTarget;
   readonly attempt: number;
 }
@@ -100,18 +106,20 @@
 export class OnceMachine {
   private readonly tried = new Set<string>();
   private pendingSinceMs: number | undefined;
-  /** The claim that is being dispatched or asked about. */
-  private current: Dispatched | undefined;
+  /** The claim that is being dispatched or fenced. */
+  private current: BoundClaim | undefined;
   private target: OnceTarget | undefined;
-  private last: Refusal | undefined;
+  private lastRefusal: Refusal | undefined;
   private noTarget = '';
   private afterSettle: OnceAction | undefined;
 
   constructor(
     private readonly entryId: string,
     private readonly maxAttempts: number,
-    /** Time from which a pending claim is asked about, milliseconds. */
-    private readonly settleAfterMs = SETTLE_AFTER_MS
+    /**
+     * Wait before a pending claim of another request is fenced, milliseconds.
+     */
+    private readonly fenceAfterMs = FENCE_PENDING_AFTER_MS
   ) {}
 
   start(): OnceAction {
@@ -123,8 +131,8 @@
       case 'routed':
         this.target = event.target;
         return {kind: 'claim', target: event.target};
-      // With no target to run at, an earlier request under the key may still
-      // have run: "not run" would send its caller to another socket.
+      // Even without a target now, an earlier request with the key may have
+      // run. Told "not run", its caller would have the work done a second time.
       case 'no target':
         this.noTarget = event.detail;
         return {kind: 'lookup'};
@@ -135,7 +143,7 @@
       case 'claim failed':
         // Nothing was dispatched, whether or not the claim was recorded.
         return this.refuse({
-          ...this.own('control-unavailable', 'claim', event.detail),
+          ...this.ownRefusal('control-unavailable', 'claim', event.detail),
           peer: event.peer,
         });
       case 'answered':
@@ -147,15 +155,19 @@
       case 'refused':
         return this.refused(event.refusal);
       case 'asked':
-        return this.asked(event.result);
+        return this.fenceResult(event.result);
       case 'settled':
         return this.afterSettle ?? this.route();
       case 'waited':
         return this.route();
       case 'deadline':
         return this.refuse(
-          this.last ??
-            this.own('deadline-passed', 'claim', 'the deadline has passed')
+          this.lastRefusal ??
+            this.ownRefusal(
+              'deadline-passed',
+              'claim',
+              'the deadline has passed'
+            )
         );
       default:
         return unreachable(event);
@@ -164,8 +176,8 @@
 
   private lookedUp(result: LookupResult, nowMs: number): OnceAction {
     if (result.kind !== 'none') return this.claimed(result, nowMs);
-    const none = this.own('no-target', 'route', this.noTarget);
-    return this.refuse(this.last ?? none);
+    const none = this.ownRefusal('no-target', 'route', this.noTarget);
+    return this.refuse(this.lastRefusal ?? none);
   }
 
   private claimed(result: ClaimResult, nowMs: number): OnceAction {
@@ -178,7 +190,7 @@
         return this.pending(result, nowMs);
       case 'unknown':
         return this.refuse(
-          this.own(
+          this.ownRefusal(
             'outcome-unknown',
             'claim',
             'an earlier attempt may have run'
@@ -186,7 +198,7 @@
         );
       case 'mismatch':
         return this.refuse(
-          this.own(
+          this.ownRefusal(
             'key-conflict',
             'claim',
             'the key belongs to another request'
@@ -194,11 +206,15 @@
         );
       case 'expired':
         return this.refuse(
-          this.own('key-expired', 'claim', 'the key is no longer on record')
+          this.ownRefusal(
+            'key-expired',
+            'claim',
+            'the key is no longer on record'
+          )
         );
       case 'full':
         return this.refuse(
-          this.own('key-record-full', 'claim', 'too many keys on record')
+          this.ownRefusal('key-record-full', 'claim', 'too many keys on record')
         );
       default:
         return unreachable(result);
@@ -207,67 +223,71 @@
 
   private granted(attempt: number): OnceAction {
     const {target} = this;
-    if (target === undefined) throw new Error('granted without a target');
+    if (target === undefined)
+      throw new Error('a claim was granted before a target was chosen');
     this.tried.add(target.targetId);
     this.pendingSinceMs = undefined;
-    this.last = undefined;
+    this.lastRefusal = undefined;
     this.current = {target, attempt};
     return {kind: 'dispatch', target, attempt};
   }
 
-  /** Another request holds the key: waits a little for it, then asks its agent. */
+  /** Another request holds the key: waits for it, then fences its claim. */
   private pending(
-    held: Extract<ClaimResult, {kind: 'pending'}>,
+    claim: Extract<ClaimResult, {kind: 'pending'}>,
     nowMs: number
   ): OnceAction {
     this.pendingSinceMs ??= nowMs;
-    // Whatever ends the wait, the caller must not hear "not run" of a key that
-    // another request may be running.
-    this.last = this.own(
+    // However the wait ends, the caller must not get "not run": another request
+    // with the key may be running.
+    this.lastRefusal = this.ownRefusal(
       'in-progress',
       'settle',
-      `attempt ${held.attempt} at ${held.targetId} is not settled`
+      `attempt ${claim.attempt} at ${claim.targetId} is not settled`
     );
-    if (nowMs - this.pendingSinceMs < this.settleAfterMs)
-      return {kind: 'wait', ms: ASK_AGAIN_MS};
-    const {targetId, agentBootId, attempt} = held;
-    return this.ask({target: {targetId, agentBootId}, attempt});
+    if (nowMs - this.pendingSinceMs < this.fenceAfterMs)
+      return {kind: 'wait', ms: CLAIM_RETRY_INTERVAL_MS};
+    const {targetId, agentBootId, attempt} = claim;
+    return this.fence({target: {targetId, agentBootId}, attempt});
   }
 
   /**
-   * A positive refusal proves that this attempt did not run. Anything else
-   * proves nothing: a request that timed out here may still arrive there, so
-   * its agent is asked, which bars it for good if it has not run.
+   * A refusal with the outcome "not run" proves that this attempt did not run.
+   * Any other proves nothing: a request that timed out here may still arrive at
+   * the agent. The claim is then fenced, which bars it for good if it has not
+   * run.
    */
   private refused(refusal: Refusal): OnceAction {
     const {current} = this;
-    if (current === undefined) throw new Error('refused without a dispatch');
-    this.last = refusal;
+    if (current === undefined)
+      throw new Error('an attempt was refused, but none was dispatched');
+    this.lastRefusal = refusal;
     if (REFUSALS[refusal.reason].outcome === 'outcome unknown')
-      return this.ask(current);
-    const again =
+      return this.fence(current);
+    const mayRetry =
       REFUSALS[refusal.reason].tryElsewhere ||
       refusal.reason === 'claim-fenced';
     return this.settle(
       current.attempt,
       {kind: 'not run'},
-      again ? undefined : this.refuse(refusal)
+      mayRetry ? undefined : this.refuse(refusal)
     );
   }
 
-  private ask(claim: Dispatched): OnceAction {
+  private fence(claim: BoundClaim): OnceAction {
     this.current = claim;
     return {kind: 'ask', ...claim};
   }
 
-  private asked(result: AskResult): OnceAction {
-    const {current, last} = this;
-    if (current === undefined) throw new Error('asked without a claim');
-    const detail = last?.detail ?? '';
+  private fenceResult(result: AskResult): OnceAction {
+    const {current, lastRefusal} = this;
+    if (current === undefined)
+      throw new Error('a fence result arrived without a claim to fence');
+    const detail = lastRefusal?.detail ?? '';
     switch (result.kind) {
       case 'fenced':
-        this.last = {
-          ...this.own('target-unreachable', 'settle', detail),
+        this.lastRefusal = {
+          ...this.ownRefusal('target-unreachable', 'settle', detail),
           peer: current.target.targetId,
         };
         return this.settle(current.attempt, {kind: 'not run'}, undefined);
@@ -280,21 +300,22 @@
           };
         }
         return this.unknown(current, detail);
-      // The boot that could have told is gone, and it runs nothing any more.
+      // The only boot that knew the outcome is gone, so it stays unknown;
+      // nothing can run there any more.
       case 'other boot':
       case 'gone':
         return this.unknown(current, detail);
       case 'running':
       case 'no answer':
-        return this.refuse(this.own('in-progress', 'settle', detail));
+        return this.refuse(this.ownRefusal('in-progress', 'settle', detail));
       default:
         return unreachable(result);
     }
   }
 
-  private unknown(claim: Dispatched, detail: string): OnceAction {
+  private unknown(claim: BoundClaim, detail: string): OnceAction {
     const refusal = {
-      ...this.own('outcome-unknown', 'settle', detail),
+      ...this.ownRefusal('outcome-unknown', 'settle', detail),
       peer: claim.target.targetId,
     };
     return this.settle(claim.attempt, {kind: 'unknown'}, this.refuse(refusal));
@@ -303,13 +324,16 @@
   private settle(
     attempt: number,
     settlement: Settlement,
-    then: OnceAction | undefined
+    nextAction: OnceAction | undefined
   ): OnceAction {
     this.current = undefined;
-    const spent =
-      this.tried.size >= this.maxAttempts && this.last !== undefined;
+    const attemptsUsedUp =
+      this.tried.size >= this.maxAttempts && this.lastRefusal !== undefined;
     this.afterSettle =
-      then ?? (spent && this.last ? this.refuse(this.last) : this.route());
+      nextAction ??
+      (attemptsUsedUp && this.lastRefusal
+        ? this.refuse(this.lastRefusal)
+        : this.route());
     return {kind: 'settle', attempt, settlement};
   }
 
@@ -321,7 +345,7 @@
     return {kind: 'refuse', refusal};
   }
 
-  private own(
+  private ownRefusal(
     reason: Refusal['reason'],
     step: Refusal['step'],
     detail: string
--- a/src/entry/readBodyInTime.ts
+++ b/src/entry/readBodyInTime.ts
@@ -1,4 +1,4 @@
-/** Reads the body of a caller's request, for no longer than its deadline. */
+/** Reads the body of a caller's request until the deadline of the call. */
 
 import type {IncomingMessage} from 'node:http';
 import type {Progress} from '../core/progress';
@@ -6,17 +6,19 @@
 import {readBody} from '../core/upstream';
 
 /**
- * Resolves as `readBody` does. A body that never ends would otherwise hold its
- * request, and the memory of what came, for as long as the caller likes.
+ * Resolves like `readBody`; rejects with a RefusalError when the body is late
+ * or breaks off. Without the timeout, a body that never ends would keep its
+ * request and the bytes received so far in memory for as long as the caller
+ * likes.
  */
-export async function readBodyInTime(
+export async function readBodyBeforeDeadline(
   req: IncomingMessage,
   maxBytes: number,
   progress: Progress,
   entryId: string
 ): Promise<Buffer | undefined> {
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<never>((_, reject) => {
+  const timeout = new Promise<never>((_, reject) => {
     timer = setTimeout(
       () =>
         reject(
@@ -29,10 +31,11 @@
     const detail = `the body broke off: ${String(err)}`;
     throw refuse('malformed-request', 'classify', entryId, detail);
   });
-  // Still pending after the timeout; it ends with the connection.
+  // After a timeout this promise is still pending. It settles when the
+  // connection closes, and its error is ignored.
   read.catch(() => undefined);
   try {
-    return await Promise.race([read, late]);
+    return await Promise.race([read, timeout]);
   } finally {
     clearTimeout(timer);
   }
--- a/src/entry/relayChat.ts
+++ b/src/entry/relayChat.ts
@@ -1,8 +1,8 @@
-/** Passes a token stream on, from one target after the other where needed. */
+/** Relays a token stream, resuming it at another target after a loss. */
 
 import {relayedHeaders} from '../core/httpHeaders';
 import {REFUSALS, Refusal} from '../core/refusal';
-import type {Answered, Attempts} from './attempts';
+import type {AnsweredAttempt, Attempts} from './attempts';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
 import {StreamSource, relayStream} from './chat/streamResumer';
@@ -10,25 +10,25 @@
 import {countTokens} from './countTokens';
 import {withDeadline} from './serveCall';
 
-const MAX_LOSSES = 3;
+const MAX_CONSECUTIVE_LOSSES = 3;
 const MAX_EVENT_CHARS = 1024 * 1024;
-/** A gap between tokens that long means that the target has stalled. */
+/** A longer gap between two tokens means that the target has stalled. */
 const TOKEN_TIMEOUT_MS = 5_000;
-const CALLER_TIMEOUT_MS = 60_000;
+const CALLER_READ_TIMEOUT_MS = 60_000;
 const HTTP_OK = 200;
 
-/** Whether an answer is a token stream. */
-export function isEventStream({answer}: Answered): boolean {
+/** Whether a response is a token stream. */
+export function isEventStream({answer}: AnsweredAttempt): boolean {
   const type = answer.headers['content-type'] ?? '';
   return answer.statusCode === HTTP_OK && type.startsWith('text/event-stream');
 }
 
-/** Resolves once the caller has all, or an error event, or has gone. */
+/** Resolves once the caller has the whole stream, an error, or disconnects. */
 export async function relayChat(
   core: EntryCore,
   call: ClassifiedCall,
   attempts: Attempts,
-  answered: Answered
+  answered: AnsweredAttempt
 ): Promise<void> {
   const {res, limit, resume, progress} = call;
   writeHead(call, answered);
@@ -39,12 +39,12 @@
     limits: {
       fromToken: resume?.fromToken ?? 0,
       modelVersion: resume?.modelVersion,
-      maxLosses: MAX_LOSSES,
+      maxLosses: MAX_CONSECUTIVE_LOSSES,
       maxEventChars: MAX_EVENT_CHARS,
     },
     firstTokenTimeoutMs: limit.firstTokenMs ?? limit.timeoutMs,
     tokenTimeoutMs: TOKEN_TIMEOUT_MS,
-    callerTimeoutMs: CALLER_TIMEOUT_MS,
+    callerTimeoutMs: CALLER_READ_TIMEOUT_MS,
     signal: progress.signal,
     reopen: async point => {
       progress.renew(limit.timeoutMs);
@@ -53,21 +53,24 @@
       sourceOf(current).cancel();
       throw new Error(`status ${current.answer.statusCode} to a resumption`);
     },
-    describe: refusal => describe(call, refusal),
+    errorEventData: refusal => formatErrorEvent(call, refusal),
     onResumed: cause => core.metrics.count('stream.resumed', {reason: cause}),
     onTokens: count => countTokens(core, call, count),
   });
   current.done();
   if (end.kind === 'cut') {
     core.metrics.count('stream.cut');
-    callLogger(core, call).warn({refusal: end.refusal}, 'stream cut');
+    callLogger(core, call).warn(
+      {refusal: end.refusal},
+      'token stream cut before its end'
+    );
   }
   if (end.kind === 'caller gone') core.metrics.count('request.cancelled');
 }
 
 function writeHead(
   {res, requestId}: ClassifiedCall,
-  {answer, report, target}: Answered
+  {answer, report, target}: AnsweredAttempt
 ): void {
   const own: Record<string, string> = {
     'marlpulley-request-id': requestId,
@@ -81,7 +84,7 @@
   res.flushHeaders();
 }
 
-function sourceOf(answered: Answered): StreamSource {
+function sourceOf(answered: AnsweredAttempt): StreamSource {
   const {answer, target} = answered;
   return {
     body: answer,
@@ -94,7 +97,10 @@
   };
 }
 
-function describe({requestId}: ClassifiedCall, refusal: Refusal): string {
+function formatErrorEvent(
+  {requestId}: ClassifiedCall,
+  refusal: Refusal
+): string {
   const {outcome, retryable} = REFUSALS[refusal.reason];
   return JSON.stringify({error: {...refusal, outcome, retryable, requestId}});
 }
--- a/src/entry/relayPlain.ts
+++ b/src/entry/relayPlain.ts
@@ -1,30 +1,38 @@
-/** Passes any other answer on, whole or not at all. */
+/** Relays every response that is not a token stream. */
 
 import {relayedHeaders} from '../core/httpHeaders';
 import {RefusalError} from '../core/refusal';
 import {trailersOf} from '../core/upstream';
-import type {Answered, Attempts} from './attempts';
+import type {AnsweredAttempt, Attempts} from './attempts';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
 import {ChatUsage} from './chat/chatUsage';
-import {WholeEnd, WholeSource, relayWhole} from './chat/wholeAnswer';
+import {
+  ResponseRelayEnd,
+  ResponseSource,
+  relayResponse,
+} from './chat/wholeAnswer';
 import type {EntryCore} from './entryCore';
 import {countTokens} from './countTokens';
 import {withDeadline} from './serveCall';
 
-/** Answers up to this size are held until they are whole. */
-const HOLD_BYTES = 64 * 1024;
+/** Responses up to this size are held back until they are complete. */
+const MAX_HELD_BYTES = 64 * 1024;
 
-interface PlainSource extends WholeSource {
-  readonly answered: Answered;
+interface PlainSource extends ResponseSource {
+  readonly answered: AnsweredAttempt;
 }
 
-/** Resolves once the answer is passed on; rejects when it was lost unseen. */
+/**
+ * Resolves once the response is relayed, cut, or no longer wanted by the
+ * caller; rejects with RefusalError when it was lost before the caller got any
+ * of it.
+ */
 export async function relayPlain(
   core: EntryCore,
   call: ClassifiedCall,
   attempts: Attempts,
-  answered: Answered
+  answered: AnsweredAttempt
 ): Promise<void> {
   const {res, progress} = call;
   const usage = new ChatUsage();
@@ -32,18 +40,21 @@
   const repeatable = call.once === undefined && call.body.kind !== 'streaming';
   const retry = async (detail: string) => {
     core.metrics.count('request.retried', {reason: 'answer lost'});
-    callLogger(core, call).info({detail}, 'answer lost; trying another target');
-    attempts.answerLost();
+    callLogger(core, call).info(
+      {detail},
+      'response lost before any of it was sent; trying another target'
+    );
+    attempts.recordLostResponse();
     current = await withDeadline(call, () => attempts.run());
     usage.reset();
-    watch(call, current, usage);
+    watchResponse(call, current, usage);
     return sourceOf(current);
   };
-  watch(call, answered, usage);
-  const end = await relayWhole<PlainSource>({
+  watchResponse(call, answered, usage);
+  const end = await relayResponse<PlainSource>({
     source: sourceOf(answered),
     caller: res,
-    holdBytes: holdBytes(answered),
+    maxHeldBytes: maxHeldBytesOf(answered),
     signal: progress.signal,
     writeHead: source => writeHead(call, source.answered),
     writeEnd: source => {
@@ -54,31 +65,33 @@
     retry: repeatable ? retry : undefined,
   });
   current.done();
-  ended(core, call, usage, current, end);
+  recordEnd(core, call, usage, current, end);
 }
 
 /**
- * The head has come in time; from here on only silence is an error, for the
- * answer of a second target as well.
+ * Sets the idle timeout of the body and reads its token usage. The deadline of
+ * the call covers the head only; once it has arrived, the body may take any
+ * time as long as bytes keep coming. The same holds for the response of a
+ * retry.
  */
-function watch(
+function watchResponse(
   {limit, chat}: ClassifiedCall,
-  {answer}: Answered,
+  {answer}: AnsweredAttempt,
   usage: ChatUsage
 ): void {
   answer.setTimeout(limit.timeoutMs, () =>
     answer.destroy(new Error('the target fell silent'))
   );
-  if (chat !== undefined) answer.on('data', chunk => usage.take(chunk));
+  if (chat !== undefined) answer.on('data', chunk => usage.addChunk(chunk));
 }
 
-/** Accounts for how the relay ended; throws when nothing was written. */
-function ended(
+/** Counts and logs how the relay ended; throws when nothing was written. */
+function recordEnd(
   core: EntryCore,
   call: ClassifiedCall,
   usage: ChatUsage,
-  current: Answered,
-  end: WholeEnd<PlainSource>
+  current: AnsweredAttempt,
+  end: ResponseRelayEnd<PlainSource>
 ): void {
   switch (end.kind) {
     case 'done':
@@ -90,7 +103,10 @@
       return;
     case 'cut':
       core.metrics.count('stream.cut');
-      callLogger(core, call).warn({detail: end.detail}, 'the answer broke off');
+      callLogger(core, call).warn(
+        {detail: end.detail},
+        'response cut after its head was sent'
+      );
       return;
     case 'lost':
       if (end.err instanceof RefusalError) throw end.err;
@@ -103,14 +119,14 @@
   }
 }
 
-/** An answer without a length may be a feed: it is not held back at all. */
-function holdBytes({answer}: Answered): number {
-  return answer.headers['content-length'] === undefined ? 0 : HOLD_BYTES;
+/** A response without a length may be an endless feed; it is not held back. */
+function maxHeldBytesOf({answer}: AnsweredAttempt): number {
+  return answer.headers['content-length'] === undefined ? 0 : MAX_HELD_BYTES;
 }
 
 function writeHead(
   {res, requestId}: ClassifiedCall,
-  {answer, report}: Answered
+  {answer, report}: AnsweredAttempt
 ): void {
   const own = {
     'marlpulley-request-id': requestId,
@@ -120,7 +136,7 @@
   res.writeHead(answer.statusCode ?? 502, answer.statusMessage, headers);
 }
 
-function sourceOf(answered: Answered): PlainSource {
+function sourceOf(answered: AnsweredAttempt): PlainSource {
   const {answer} = answered;
   return {
     answered,
--- a/src/entry/retryBudgets.ts
+++ b/src/entry/retryBudgets.ts
@@ -1,4 +1,4 @@
-/** One retry budget a pool, by the rules in force. */
+/** Keeps one retry budget per pool. */
 
 import {RetryBudget} from '../policy/retryBudget';
 
@@ -8,12 +8,13 @@
 export class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
 
-  of(pool: string, percent: number): RetryBudget {
+  /** The budget of a pool, with `percent` from the active rules applied. */
+  forPool(pool: string, percent: number): RetryBudget {
     const options = {percent, minPerSecond: MIN_RETRIES_PER_SECOND};
-    const known = this.budgets.get(pool);
-    if (known !== undefined) {
-      known.configure(options);
-      return known;
+    const existing = this.budgets.get(pool);
+    if (existing !== undefined) {
+      existing.configure(options);
+      return existing;
     }
     const budget = new RetryBudget(options, performance.now());
     this.budgets.set(pool, budget);
--- a/src/entry/serveOnce.ts
+++ b/src/entry/serveOnce.ts
@@ -1,7 +1,8 @@
 /**
- * Serves calls that are not idempotent and carry a key. The key is claimed on
- * a quorum of control before the dispatch, for one boot of one agent; what
- * became of a claim is then always asked of that agent, never guessed.
+ * Serves calls that are not idempotent and carry a key, so that each runs at
+ * most once. Before the dispatch, a quorum of control records a claim of the
+ * key, bound to one boot of one agent. Only that agent decides whether a claim
+ * whose response was lost has run; the entry never guesses.
  */
 
 import {createHash} from 'node:crypto';
@@ -22,31 +23,31 @@
   METHODS,
   SettleRequest,
 } from '../rpc/messages';
-import {askAgent} from './askAgent';
+import {fenceClaimAtAgent} from './askAgent';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
-import {dispatchOnce} from './dispatchOnce';
+import {dispatchAttempt} from './dispatchOnce';
 import type {EntryCore} from './entryCore';
 import {
   OnceAction,
   OnceEvent,
   OnceMachine,
   OnceTarget,
-  SETTLE_AFTER_MS,
+  FENCE_PENDING_AFTER_MS,
 } from './onceMachine';
 import {route} from './route';
 import {withDeadline} from './serveCall';
 
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 const SETTLE_TIMEOUT_MS = 10_000;
 /**
- * Longest wait for a claim. Long enough for an election; without it a caller
- * waits out its whole deadline when no quorum answers, and a claim granted
- * just before the deadline leaves no time to run.
+ * Long enough for a leader election. Without this timeout, a caller would wait
+ * until its deadline when no quorum responds, and a claim granted just before
+ * the deadline would leave no time to run.
  */
 const CLAIM_TIMEOUT_MS = 5_000;
 
-/** Resolves once the answer has been sent; rejects with RefusalError. */
+/** Resolves once the response has been sent; rejects with RefusalError. */
 export async function serveOnce(
   core: EntryCore,
   call: ClassifiedCall,
@@ -56,10 +57,12 @@
     new OnceDriver(core, call, key).run()
   );
   core.usage.add(call.customer, {requests: 1});
-  sendRecorded(call, answer);
+  sendRecordedResponse(call, answer);
 }
 
-/** Does what the machine decides. */
+/**
+ * Carries out the actions of an OnceMachine and reports their results to it.
+ */
 class OnceDriver {
   private readonly machine: OnceMachine;
   private readonly digest: string;
@@ -71,11 +74,11 @@
     private readonly key: string
   ) {
     const {attempts, timeoutMs} = call.limit;
-    // Past its deadline a resend could ask nobody, and would hear "in progress"
-    // for ever in a pool with a short one.
-    const settleAfterMs = Math.min(SETTLE_AFTER_MS, timeoutMs / 2);
-    this.machine = new OnceMachine(core.entryId, attempts, settleAfterMs);
-    this.digest = digestOf(call);
+    // Fencing must start well before the deadline: in a pool with a short
+    // timeout, every resend would otherwise get "in-progress" forever.
+    const fenceAfterMs = Math.min(FENCE_PENDING_AFTER_MS, timeoutMs / 2);
+    this.machine = new OnceMachine(core.entryId, attempts, fenceAfterMs);
+    this.digest = requestDigest(call);
   }
 
   async run(): Promise<RecordedAnswer> {
@@ -100,7 +103,7 @@
       case 'dispatch':
         return this.dispatch(action.target, action.attempt);
       case 'ask':
-        return this.ask(action.target, action.attempt);
+        return this.fence(action.target, action.attempt);
       case 'settle':
         return this.settle(action.attempt, action.settlement);
       case 'wait':
@@ -114,7 +117,7 @@
     answer,
     settleAttempt,
   }: Extract<OnceAction, {kind: 'answer'}>): RecordedAnswer {
-    // The agent holds the answer too, so the caller need not wait for this.
+    // The agent holds the response too, so the caller does not wait for this.
     if (settleAttempt !== undefined)
       void this.settle(settleAttempt, {kind: 'answered', answer});
     return answer;
@@ -135,12 +138,12 @@
       key,
       digest,
       entryId: core.entryId,
-      // Another claim of the same call is another dispatch, so another id.
+      // Each claim of a call leads to its own dispatch, so it needs its own id.
       requestId: `${call.requestId}/${++this.claims}`,
       targetId,
       agentBootId,
     };
-    return this.askLeader<ClaimResult>(METHODS.claim, request, result => ({
+    return this.callLeader<ClaimResult>(METHODS.claim, request, result => ({
       kind: 'claimed',
       result,
       nowMs: performance.now(),
@@ -150,7 +153,7 @@
   private lookup(): Promise<OnceEvent> {
     const {call, key, digest} = this;
     const request: LookupRequest = {customer: call.customer, key, digest};
-    return this.askLeader<LookupResult>(
+    return this.callLeader<LookupResult>(
       METHODS.lookupClaim,
       request,
       result => ({
@@ -161,7 +164,7 @@
     );
   }
 
-  private async askLeader<R>(
+  private async callLeader<R>(
     method: string,
     request: unknown,
     toEvent: (result: R) => OnceEvent
@@ -186,25 +189,26 @@
     const target = core.sync.directory
       .list()
       .find(one => one.targetId === targetId);
-    if (target === undefined) return this.vanished(targetId);
+    if (target === undefined) return this.targetGone(targetId);
     core.load.began(targetId, 1);
     try {
-      const outcome = await dispatchOnce(core, call, {
+      const outcome = await dispatchAttempt(core, call, {
         number: attempt,
-        // The claim is bound to the boot that was chosen, not to a later one.
+        // The claim is bound to the boot that routing chose, not to a later
+        // one.
         target: {...target, agentBootId},
         cost: 1,
         claim: {key, attempt},
         signal: call.progress.signal,
       });
       if (outcome.kind === 'refused') return outcome;
-      return await this.read(outcome.answer, targetId);
+      return await this.readResponse(outcome.answer, targetId);
     } finally {
       core.load.ended(targetId, 1);
     }
   }
 
-  private vanished(peer: string): OnceEvent {
+  private targetGone(peer: string): OnceEvent {
     const detail = 'gone since it was chosen; nothing was sent';
     return {
       kind: 'refused',
@@ -212,11 +216,11 @@
     };
   }
 
-  private async read(
+  private async readResponse(
     answer: IncomingMessage,
     peer: string
   ): Promise<OnceEvent> {
-    const body = await readBody(answer, MAX_ANSWER_BYTES).catch(
+    const body = await readBody(answer, MAX_RESPONSE_BYTES).catch(
       () => undefined
     );
     if (body === undefined || !answer.complete) {
@@ -234,16 +238,17 @@
     return {kind: 'answered', answer: recorded};
   }
 
-  private async ask(target: OnceTarget, attempt: number): Promise<OnceEvent> {
+  private async fence(target: OnceTarget, attempt: number): Promise<OnceEvent> {
     const {core, call, key} = this;
     const {targetId, agentBootId} = target;
-    // Another entry may have claimed it, for a target that is not followed here.
+    // The claim may come from another entry, for a target outside of this
+    // entry's subset.
     const located = await core.sync.locate(targetId);
     if (located.kind === 'gone') return {kind: 'asked', result: {kind: 'gone'}};
     if (located.kind === 'unknown')
       return {kind: 'asked', result: {kind: 'no answer'}};
     const request = {customer: call.customer, key, attempt, agentBootId};
-    const result = await askAgent(core, located.announcement, request);
+    const result = await fenceClaimAtAgent(core, located.announcement, request);
     return {kind: 'asked', result: result ?? {kind: 'no answer'}};
   }
 
@@ -263,7 +268,7 @@
     } catch (err) {
       callLogger(core, call).warn(
         {err: String(err), attempt},
-        'the claim is still to be settled'
+        'settling a claim failed; it stays pending until the key is sent again'
       );
     }
     return {kind: 'settled'};
@@ -275,13 +280,13 @@
   }
 }
 
-function digestOf({req, body}: ClassifiedCall): string {
+function requestDigest({req, body}: ClassifiedCall): string {
   const hash = createHash('sha256').update(`${req.method} ${req.url}\n`);
   if (body.kind === 'buffered') hash.update(body.bytes);
   return hash.digest('hex');
 }
 
-function sendRecorded(
+function sendRecordedResponse(
   {res, requestId}: ClassifiedCall,
   recorded: RecordedAnswer
 ): void {
--- a/src/entry/zoneReturns.ts
+++ b/src/entry/zoneReturns.ts
@@ -1,15 +1,15 @@
-/** Remembers when each availability zone came back into service. */
+/** Records when each availability zone returned to service. */
 
 import {zoneWeight} from '../policy/zoneReturn';
 import type {RuleIndex} from '../rules/ruleIndex';
 
-/** Follows the rules in force; times are `performance.now()` milliseconds. */
+/** Compares successive rules; times are `performance.now()` milliseconds. */
 export class ZoneReturns {
   private out: ReadonlySet<string> = new Set();
   private readonly returnedAtMs = new Map<string, number>();
 
-  /** Called with each set of rules that comes into force. */
-  follow(rules: RuleIndex, nowMs: number): void {
+  /** Must be called with each set of rules that becomes active. */
+  update(rules: RuleIndex, nowMs: number): void {
     const out = zonesOut(rules);
     for (const zone of this.out) {
       if (!out.has(zone)) this.returnedAtMs.set(zone, nowMs);
@@ -17,7 +17,9 @@
     this.out = out;
   }
 
-  /** Part of its normal share that the zone gets now, above 0 and up to 1. */
+  /**
+   * Fraction of its normal share that the zone gets now, above 0 and up to 1.
+   */
   weight(availabilityZone: string, nowMs: number): number {
     const returnedAtMs = this.returnedAtMs.get(availabilityZone);
     return zoneWeight({availabilityZone, returnedAtMs}, nowMs);
--- a/tests/attempts.spec.ts
+++ b/tests/attempts.spec.ts
@@ -2,7 +2,7 @@
 import {Attempts} from '../src/entry/attempts';
 import type {ClassifiedCall} from '../src/entry/call';
 import type {CallerResume} from '../src/entry/chat/chatRequest';
-import {dispatchOnce} from '../src/entry/dispatchOnce';
+import {dispatchAttempt} from '../src/entry/dispatchOnce';
 import type {EntryCore} from '../src/entry/entryCore';
 import {RetryBudgets} from '../src/entry/retryBudgets';
 import {TargetLoad} from '../src/entry/targetLoad';
@@ -16,7 +16,7 @@
 
 jest.mock('../src/entry/dispatchOnce', () => ({
   ...jest.requireActual('../src/entry/dispatchOnce'),
-  dispatchOnce: jest.fn(),
+  dispatchAttempt: jest.fn(),
 }));
 
 const logger = createLogger('test', 'test', 'fatal');
@@ -32,7 +32,7 @@
     availabilityZone: 'zone-a',
     sync: {directory},
     load: new TargetLoad(),
-    budgets: new RetryBudgets(),
+    retryBudgets: new RetryBudgets(),
     zoneReturns: new ZoneReturns(),
     metrics: new Metrics('entry-0'),
     logger,
@@ -51,10 +51,10 @@
   } as ClassifiedCall;
 }
 
-/** Plays one outcome after another; a reason stands for a refusal. */
+/** Mocks the outcomes of successive attempts; a reason stands for a refusal. */
 function play(...outcomes: readonly (RefusalReason | 'answered')[]) {
   let next = 0;
-  return jest.mocked(dispatchOnce).mockImplementation(async () => {
+  return jest.mocked(dispatchAttempt).mockImplementation(async () => {
     const reason = outcomes[next++] ?? 'answered';
     if (reason !== 'answered') {
       const refusal = {reason, step: 'gate', peer: 'p', detail: ''} as const;
@@ -75,12 +75,11 @@
   }
 }
 
-afterEach(() => jest.mocked(dispatchOnce).mockReset());
+afterEach(() => jest.mocked(dispatchAttempt).mockReset());
 
 describe('attempts of one call', () => {
-  // The first attempt is lost on the way and may have run; all others refuse
-  // before they run. "Not run" holds for the last attempt only, and said to
-  // the caller it would be a lie about the first.
+  // The first attempt is lost and may have run; the others are refused before
+  // they run. The "not run" of the last one would be false for the first.
   it('should not say "not run" after an attempt was lost', async () => {
     play('outcome-unknown', 'zone-out', 'zone-out');
     const attempts = new Attempts(coreOf(3), callOf());
@@ -97,12 +96,12 @@
     play('answered', 'zone-out');
     const attempts = new Attempts(coreOf(2), callOf());
     expect(await refusalOf(attempts)).toBe('answered');
-    attempts.answerLost();
+    attempts.recordLostResponse();
     expect(await refusalOf(attempts)).toBe('outcome-unknown');
   });
 
-  // A call without a key that may run once only is lost on the way. A second
-  // attempt could be its second run.
+  // A non-idempotent call without a key is lost. A retry could run it a second
+  // time.
   it('should not repeat a call that is not idempotent', async () => {
     const sent = play('outcome-unknown');
     const once = {kind: 'once'} as unknown as ClassifiedCall['once'];
@@ -111,7 +110,7 @@
     expect(sent).toHaveBeenCalledTimes(1);
   });
 
-  it('should not repeat a body that was passed on as it came', async () => {
+  it('should not retry a call whose body was streamed', async () => {
     const sent = play('zone-out');
     const body = {kind: 'streaming'} as const;
     const attempts = new Attempts(coreOf(2), callOf({body}));
@@ -119,9 +118,10 @@
     expect(sent).toHaveBeenCalledTimes(1);
   });
 
-  // A caller's stream stalls, and the link to the target that is to go on with
-  // it is silent too: no answer and no error comes. The third target could go
-  // on, and gets its turn before the time of the call has run out.
+  // A stream stalls, and the target that should resume it sends neither a
+  // response nor an error. Without a timeout for the resumption, it would use
+  // up the time of the call, and the third target, which could resume, would
+  // never be tried.
   it('should go on elsewhere when a resumption gets no answer', async () => {
     jest.useFakeTimers();
     const sent = play('answered');
@@ -148,7 +148,7 @@
     jest.useRealTimers();
   });
 
-  it('should stop at the limit of attempts', async () => {
+  it('should make no more attempts than the limit', async () => {
     const sent = play(...Array<RefusalReason>(5).fill('overloaded'));
     expect(await refusalOf(new Attempts(coreOf(5), callOf()))).toBe(
       'overloaded'
--- a/tests/callerContract.spec.ts
+++ b/tests/callerContract.spec.ts
@@ -36,8 +36,8 @@
   return `${['POST /x HTTP/1.1', 'host: a', 'x-customer: harbour', ...lines].join('\r\n')}\r\n\r\n`;
 }
 
-describe('what callers send and get', () => {
-  it('should pass method, path, headers and body on as they are', async () => {
+describe('requests and responses of callers', () => {
+  it('should relay method, path, headers and body unchanged', async () => {
     const body = Buffer.from('{"box":"MSKU1234567"}');
     const {status, body: answer} = await request(
       port,
@@ -59,7 +59,7 @@
     expect(echo.headers['marlpulley-report']).toBeUndefined();
   });
 
-  it('should answer HEAD with the head alone', async () => {
+  it('should respond to HEAD with the head alone', async () => {
     const options = {method: 'HEAD', path: '/echo?bytes=5', headers: CUSTOMER};
     const {status, headers, body} = await request(port, options);
     expect([status, headers['content-length'], body.length]).toEqual([
@@ -69,7 +69,7 @@
     ]);
   });
 
-  it('should pass chunks and trailers on', async () => {
+  it('should relay chunks and trailers', async () => {
     const options = {path: '/feed?chunks=3', headers: CUSTOMER};
     const {headers, body, trailers} = await request(port, options);
     expect(headers['transfer-encoding']).toBe('chunked');
@@ -80,7 +80,7 @@
   it.each([
     ['with a length', {'content-length': String(8 * MIB)}],
     ['in chunks', {'transfer-encoding': 'chunked'}],
-  ])('should pass on a large body %s', async (_, headers) => {
+  ])('should relay a large body %s', async (_, headers) => {
     const part = Buffer.alloc(MIB, 'ab');
     const parts = Array.from({length: 8}, () => part);
     const options = {
@@ -96,7 +96,7 @@
     });
   });
 
-  it('should ask for the body of a caller that waits for it', async () => {
+  it('should send 100 Continue to a caller that waits for it', async () => {
     const headers = {...CUSTOMER, expect: '100-continue', 'content-length': 2};
     const options = {method: 'POST', path: '/x', headers};
     const {status, continued} = await request(port, options, [
@@ -105,17 +105,17 @@
     expect([status, continued]).toEqual([200, true]);
   });
 
-  // A caller asks before it sends a body, and is refused anyway. Told to go on
-  // first, it would send a large body for nothing.
-  it('should not ask for a body that it refuses', async () => {
+  // A caller waits for 100 Continue, but its request is refused. With the 100
+  // sent first, it would send a large body in vain.
+  it('should not send 100 Continue for a call that it refuses', async () => {
     const headers = {expect: '100-continue', 'content-length': 2};
     const options = {method: 'POST', path: '/x', headers};
     const {status, continued} = await request(port, options);
     expect([status, continued]).toEqual([401, false]);
   });
 
-  // A caller reads slowly, or not at all. Without back-pressure the whole
-  // answer gathers in the entry and in the agent, for each such caller.
+  // A caller reads slowly, or not at all. Without back-pressure, the entry and
+  // the agent would buffer the whole response for each such caller.
   it('should hold back the target when the caller reads nothing', async () => {
     const names = ['entry-0', 'agent-allocation-0', 'agent-allocation-1'];
     const before = names.map(residentBytes);
@@ -164,29 +164,32 @@
     ],
     ['a head too large', head(`x: ${'y'.repeat(40_000)}`), '431'],
     ['half a head', 'GET / HTTP/1.1\r\nx-cust', '408 Request Timeout'],
-  ])('should refuse %s with a clear answer', async (_, bytes, status) => {
-    const before = statsd.count('request.refused', 'malformed-request');
-    const text = await sendBytes(port, bytes);
-    expect(text).toContain(`HTTP/1.1 ${status}`);
-    expect(text).toContain('"outcome":"not run"');
-    await eventually('a count', async () => {
-      return statsd.count('request.refused', 'malformed-request') > before;
-    });
-    expect((await call(port, '/status')).status).toBe(200);
-  });
-
-  // The head promises a body that never comes. The request would be held for
-  // ever, and the caller never told.
-  it('should give up a body that does not come', async () => {
+  ])(
+    'should refuse %s with a status and an outcome',
+    async (_, bytes, status) => {
+      const before = statsd.count('request.refused', 'malformed-request');
+      const text = await sendBytes(port, bytes);
+      expect(text).toContain(`HTTP/1.1 ${status}`);
+      expect(text).toContain('"outcome":"not run"');
+      await eventually('a count', async () => {
+        return statsd.count('request.refused', 'malformed-request') > before;
+      });
+      expect((await call(port, '/status')).status).toBe(200);
+    }
+  );
+
+  // The head announces a body that never arrives. Without a timeout, the
+  // request would stay open forever.
+  it('should time out when the body does not arrive', async () => {
     const text = await sendBytes(port, `${head('content-length: 10')}abc`);
     expect(text).toContain('HTTP/1.1 408');
     expect(text).toContain('marlpulley-reason: body-timeout');
     expect(text).toContain('marlpulley-outcome: not run');
   });
 
-  // A good call is in work when garbage follows it on the same connection.
-  // An error written then would be read as the answer to the call, and its
-  // "not run" would be false: the plug is assigned.
+  // Garbage follows a valid call on the same connection while the call is in
+  // progress. The caller would read an error as the response to that call, and
+  // its "not run" would be false.
   it('should not answer garbage with "not run" while a call is in work', async () => {
     await system.breakLedgers({kind: 'answerLate', path: '/assign', ms: 500});
     const key = newKey();
@@ -205,7 +208,7 @@
     expect(await system.ledgerRuns(key)).toBe(1);
   }, 30_000);
 
-  it('should not run a call whose body breaks off', async () => {
+  it('should not run a call whose body is malformed', async () => {
     const key = newKey();
     const bytes = `${head('transfer-encoding: chunked', `idempotency-key: ${key}`).replace('/x', '/assign')}zz\r\n`;
     expect(await sendBytes(port, bytes)).not.toContain('HTTP/1.1 2');
--- a/tests/hedge.spec.ts
+++ b/tests/hedge.spec.ts
@@ -1,6 +1,6 @@
-import {HedgeEnd, HedgeLeg, hedged} from '../src/entry/hedge';
+import {HedgeOutcome, HedgedAttempt, runHedged} from '../src/entry/hedge';
 
-interface End extends HedgeEnd {
+interface End extends HedgeOutcome {
   readonly by: string;
 }
 
@@ -11,7 +11,7 @@
     by: string,
     afterMs: number,
     kind: End['kind'] = 'answered'
-  ): HedgeLeg<End> => ({
+  ): HedgedAttempt<End> => ({
     outcome: new Promise(resolve =>
       setTimeout(() => resolve({kind, by}), afterMs)
     ),
@@ -19,12 +19,12 @@
   });
 
   const run = async (
-    first: HedgeLeg<End>,
-    second: () => HedgeLeg<End> | undefined
+    first: HedgedAttempt<End>,
+    second: () => HedgedAttempt<End> | undefined
   ) => {
-    const end = hedged(first, 100, second);
+    const outcome = runHedged(first, 100, second);
     await jest.advanceTimersByTimeAsync(2_000);
-    return end;
+    return outcome;
   };
 
   beforeEach(() => {
@@ -36,13 +36,13 @@
     jest.useRealTimers();
   });
 
-  it('should send no second attempt when the first answers in time', async () => {
+  it('should start no second attempt when the first responds in time', async () => {
     const second = jest.fn();
     expect((await run(leg('first', 50), second)).by).toBe('first');
     expect(second).not.toHaveBeenCalled();
   });
 
-  it('should take the faster answer and cancel the slower attempt', async () => {
+  it('should use the faster response and cancel the slower attempt', async () => {
     const end = await run(leg('first', 500), () => leg('second', 100));
     expect(end.by).toBe('second');
     expect(cancelled).toEqual(['first']);
@@ -56,7 +56,7 @@
     expect(cancelled).toEqual([]);
   });
 
-  it('should keep to the first attempt when no second one can be afforded', async () => {
+  it('should wait for the first attempt when a second one cannot start', async () => {
     expect((await run(leg('first', 500), () => undefined)).by).toBe('first');
   });
 });
--- a/tests/onceMachine.spec.ts
+++ b/tests/onceMachine.spec.ts
@@ -10,16 +10,17 @@
   agentBootId: 'boot-1',
 } as const;
 
-describe('a call under a key when no target takes new work', () => {
-  // A technician's first sending was answered, but the answer was lost. The
-  // zone goes out, and the resend finds no target. Told "not run" he would
-  // assign the box again under a new key; the record must speak first.
+describe('a call with a key when no target takes new work', () => {
+  // The first request with the key ran, but its response was lost. Then the
+  // zone goes out of service, and the resend finds no target. Told "not run",
+  // the caller would run the work again with a new key, so the record of the
+  // key is read first.
   it.each<[LookupResult, OnceAction['kind'], string | undefined]>([
     [{kind: 'recorded', answer: ANSWER}, 'answer', undefined],
     [{kind: 'unknown'}, 'refuse', 'outcome-unknown'],
     [PENDING, 'wait', undefined],
     [{kind: 'none'}, 'refuse', 'no-target'],
-  ])('should act on the record, %j', (result, kind, reason) => {
+  ])('should follow the record of the key, %j', (result, kind, reason) => {
     const machine = new OnceMachine('entry-1', 3);
     machine.start();
     expect(machine.next({kind: 'no target', detail: 'none'})).toEqual({
--- a/tests/onceModel.spec.ts
+++ b/tests/onceModel.spec.ts
@@ -1,9 +1,10 @@
 import {ONCE_MODEL} from '../bench/fuzz/onceModel';
 
-// The caller is told "not run" of an assignment that ran, or two boxes get one
-// socket. Entries die between claim and dispatch, agents restart under late
-// dispatches, resends race through other entries, answers are lost: each fixed
-// seed is one such schedule over the shipped decisions.
+// Guards against a call that runs twice, or that is reported as "not run"
+// although it ran. Entries die between claim and dispatch, agents restart
+// before late dispatches arrive, resends race through other entries, and
+// responses are lost. Each fixed seed is one such schedule over the decisions
+// of the shipped code.
 describe('calls that may run at most once', () => {
   it('should hold their promises under fixed schedules', () => {
     for (let seed = 1; seed <= 300; seed++) {
--- a/tests/streamRelay.spec.ts
+++ b/tests/streamRelay.spec.ts
@@ -20,7 +20,7 @@
 
 const TOKENS = 40;
 
-/** Opens a stream at an engine, from a token on. */
+/** Opens a stream at an engine, resumed from a token. */
 function openStream(
   engine: FakeEngine,
   adapter: TargetAdapter,
@@ -56,7 +56,7 @@
   });
 }
 
-/** A relay over real connections: the engines are used in turn. */
+/** Starts a relay over real connections that uses the engines in turn. */
 async function setUp(...configs: readonly Partial<EngineConfig>[]) {
   const engines = await Promise.all(
     configs.map(cfg => started(new FakeEngine({stepMs: 1, ...cfg})))
@@ -81,7 +81,7 @@
           callerTimeoutMs: 10_000,
           signal: new AbortController().signal,
           reopen: point => open(point.fromToken),
-          describe: refusal => JSON.stringify(refusal),
+          errorEventData: refusal => JSON.stringify(refusal),
         })
       )
       .then(end => ends.push(end));
@@ -121,7 +121,7 @@
     }
   );
 
-  it('should go on elsewhere when an engine falls over with its connections', async () => {
+  it('should resume elsewhere when an engine crashes with its connections', async () => {
     const {engines, port} = await setUp({restartMs: 1e6}, {});
     const [first] = engines as [FakeEngine];
     const reply = send(port, '/', {});
@@ -130,9 +130,10 @@
     expect(idsIn((await reply).text)).toEqual(ALL_IDS);
   });
 
-  it('should break the connection off when only another version is left', async () => {
-    // The caller reads the tokens so far, an error event, and a connection
-    // that ends without the last chunk: no reader can take it for whole.
+  it('should destroy the connection when only another version is left', async () => {
+    // The caller gets the tokens so far, an error event, and a connection that
+    // ends without the last chunk, so it cannot mistake the stream for
+    // complete.
     const {engines, port, ends} = await setUp({}, {modelVersion: 'v2'});
     engines[0]!.control({kind: 'cutAtToken', token: 9, times: 1});
     const reply = await send(port, '/', {});
@@ -142,7 +143,7 @@
     expect(ends).toMatchObject([{kind: 'cut', delivered: 9}]);
   });
 
-  it('should stop the engine when the caller goes', async () => {
+  it('should stop the engine when the caller disconnects', async () => {
     const {engines, port, ends} = await setUp({stepMs: 5});
     const [engine] = engines as [FakeEngine];
     const caller = http.get({host: '127.0.0.1', port, agent: false});
--- a/tests/streamResumer.spec.ts
+++ b/tests/streamResumer.spec.ts
@@ -4,7 +4,7 @@
 import {ResumePoint} from '../src/entry/chat/streamMachine';
 import {
   relayStream,
-  StreamRelay,
+  StreamRelayOptions,
   StreamSource,
 } from '../src/entry/chat/streamResumer';
 
@@ -72,12 +72,12 @@
 function setUp(
   first: StreamSource,
   others: readonly (FakeSource | Error)[] = [],
-  over: Partial<StreamRelay> = {}
+  over: Partial<StreamRelayOptions> = {}
 ) {
   const caller = new Caller({highWaterMark: 100});
   const points: ResumePoint[] = [];
   const queue = [...others];
-  const relay: StreamRelay = {
+  const relay: StreamRelayOptions = {
     source: first,
     caller,
     limits: {fromToken: 0, maxLosses: 3, maxEventChars: 1000},
@@ -91,7 +91,7 @@
       if (next instanceof Error) throw next;
       return next ?? Promise.reject(new Error('none left'));
     },
-    describe: refusal => JSON.stringify({error: refusal}),
+    errorEventData: refusal => JSON.stringify({error: refusal}),
     ...over,
   };
   return {relay, caller, points, end: relayStream(relay)};
@@ -100,9 +100,9 @@
 afterEach(() => jest.useRealTimers());
 
 describe('stream resumption', () => {
-  // A target, its agent or a connection is lost at some token. The caller
-  // notices nothing but a pause: another target of the same version goes on
-  // at the next token, and what it repeats is dropped.
+  // A target, its agent or a connection is lost at some token. Another target
+  // of the same version resumes at the next token, and tokens that it repeats
+  // are dropped: the caller sees only a pause.
   it.each<[string, FakeSource, FakeSource[], number[]]>([
     [
       'before the first token',
@@ -135,7 +135,7 @@
       [1, 2],
     ],
     [
-      'and begun anew by the other target',
+      'and restarted by the other target',
       new FakeSource(tokens(0, 3)),
       [new FakeSource(WHOLE)],
       [3],
@@ -153,7 +153,7 @@
       [2],
     ],
     [
-      'by an end in good form that lacks tokens',
+      'by a well-formed end that lacks tokens',
       new FakeSource(tokens(0, 2) + END),
       [new FakeSource(tokens(2, 4) + END)],
       [2],
@@ -167,9 +167,9 @@
     for (const point of points) expect(point.modelVersion).toBe('v1');
   });
 
-  // No other target can go on exactly. The caller gets all tokens so far, an
-  // error event that says so, and a connection that breaks off: nothing that
-  // could pass for a whole answer, and never "not run".
+  // No other target can resume at the exact token. The caller gets all tokens
+  // so far, an error event with the cause, and a destroyed connection, so that
+  // it cannot mistake the stream for complete. The error never says "not run".
   it.each<[string, FakeSource, (FakeSource | Error)[], string]>([
     [
       'the version differs',
@@ -242,10 +242,10 @@
     expect(caller.text).toBe(WHOLE);
   });
 
-  it('should read no further than a slow caller, nor blame the target', async () => {
-    // The caller stops reading. The relay must stop reading the target, or it
-    // would hold the rest in memory; the stall timer must stand still, or the
-    // same tokens would be made again elsewhere.
+  it('should pause the source for a slow caller and not count it as stalled', async () => {
+    // The caller stops reading. The relay must pause the source, or it would
+    // buffer the rest in memory, and it must stop the stall timer, or another
+    // target would generate the same tokens again.
     jest.useFakeTimers({doNotFake: ['nextTick', 'setImmediate']});
     const body = new PassThrough();
     body.write(tokens(0, 2));
@@ -265,7 +265,7 @@
     expect(points).toEqual([]);
   });
 
-  it('should let go of a caller that reads nothing more', async () => {
+  it('should disconnect a caller that stops reading', async () => {
     jest.useFakeTimers({doNotFake: ['nextTick', 'setImmediate']});
     const first = new FakeSource(tokens(0, 2), 'silence');
     const {relay, caller, end} = setUp(first);
@@ -276,7 +276,7 @@
     expect(first.cancelled).toBe(1);
   });
 
-  it('should cancel the work when the caller goes, also while reopening', async () => {
+  it('should cancel the work when the caller disconnects, also while reopening', async () => {
     const first = new FakeSource(tokens(0, 2), 'silence');
     const gone = setUp(first);
     gone.caller.destroy();
@@ -309,7 +309,7 @@
     ['the same version', 'v1', 'done'],
     ['another version', 'v2', 'cut'],
   ])(
-    "should go on a caller's own stream on %s",
+    "should resume a caller's own stream on %s",
     async (_name, version, kind) => {
       const first = new FakeSource(tokens(2, 4, version) + END, 'end', 'v1');
       const limits = {
@@ -324,7 +324,7 @@
     }
   );
 
-  it('should refuse to hold an event without bound', async () => {
+  it('should not buffer an event beyond the maximum size', async () => {
     const endless = new FakeSource(`data: ${'x'.repeat(2000)}`, 'silence');
     const {end, points} = setUp(endless, [new FakeSource(WHOLE)]);
     expect((await end).kind).toBe('done');
--- a/tests/wholeAnswer.spec.ts
+++ b/tests/wholeAnswer.spec.ts
@@ -1,17 +1,21 @@
 import http from 'node:http';
 import {Writable} from 'node:stream';
 import {FakeLedger} from '../fakes/ledger';
-import {relayWhole, WholeEnd, WholeSource} from '../src/entry/chat/wholeAnswer';
+import {
+  relayResponse,
+  ResponseRelayEnd,
+  ResponseSource,
+} from '../src/entry/chat/wholeAnswer';
 import {closeTargets, scripted, send, started} from './fixtures/targets';
 
-interface HttpSource extends WholeSource {
+interface HttpSource extends ResponseSource {
   readonly res: http.IncomingMessage;
 }
 
 const HOLD_BYTES = 1000;
 
-/** Asks a target; what it answers becomes a source. */
-function ask(port: number, path: string): Promise<HttpSource> {
+/** Requests a path from a target; the response becomes a source. */
+function openSource(port: number, path: string): Promise<HttpSource> {
   return new Promise((resolve, reject) => {
     const req = http.request({host: '127.0.0.1', port, path, agent: false});
     req.once('error', reject);
@@ -27,23 +31,23 @@
   });
 }
 
-/** A relay in front of a ledger; attempts beyond the first are allowed. */
+/** Starts a relay in front of a ledger that makes up to `attempts` attempts. */
 async function relayTo(
   ledger: FakeLedger,
   attempts: number,
   signal = new AbortController().signal
 ) {
-  const ends: WholeEnd<HttpSource>[] = [];
+  const ends: ResponseRelayEnd<HttpSource>[] = [];
   let left = attempts;
   const {port} = await scripted((req, res) => {
-    const open = () => ask(ledger.port, req.url ?? '/');
+    const open = () => openSource(ledger.port, req.url ?? '/');
     const retry = () =>
       --left > 0 ? open() : Promise.reject(new Error('no attempt left'));
     void open().then(async source => {
-      const end = await relayWhole<HttpSource>({
+      const end = await relayResponse<HttpSource>({
         source,
         caller: res,
-        holdBytes: HOLD_BYTES,
+        maxHeldBytes: HOLD_BYTES,
         signal,
         writeHead: ({res: {statusCode, headers}}) =>
           res.writeHead(statusCode ?? 500, headers),
@@ -59,12 +63,12 @@
 
 afterEach(closeTargets);
 
-describe('whole answers', () => {
+describe('relay of complete responses', () => {
   it.each([
     ['small', '/echo', 1],
     ['large', '/echo?bytes=3000000', 3_000_000],
     ['chunked', '/echo?chunks=50', 'chunk 0\n'.length * 50],
-  ])('should pass on a %s answer whole', async (_name, path, bytes) => {
+  ])('should relay a %s response completely', async (_name, path, bytes) => {
     const ledger = await started(new FakeLedger());
     const {port, ends} = await relayTo(ledger, 2);
     const relayed = await send(port, path, {});
@@ -74,9 +78,10 @@
     expect(ledger.runs).toHaveLength(1);
   });
 
-  it('should mend the loss of an idempotent answer unseen', async () => {
-    // The target dies within its answer. The caller has seen no byte yet, as
-    // small answers are held back, and gets the whole answer of another try.
+  it('should retry an idempotent call when its response is lost unseen', async () => {
+    // The target dies within its response. Small responses are held back, so
+    // the caller has received no byte yet and gets the complete response of a
+    // retry.
     const ledger = await started(new FakeLedger());
     ledger.breakNext({kind: 'truncate', times: 2});
     const {port, ends} = await relayTo(ledger, 3);
@@ -91,7 +96,7 @@
     ['not idempotent', 1, 1],
     ['out of attempts', 2, 2],
   ])(
-    'should say that the answer is lost when %s',
+    'should report the response as lost when %s',
     async (_name, attempts, runs) => {
       const ledger = await started(new FakeLedger());
       ledger.breakNext({kind: 'truncate', times: 9});
@@ -102,10 +107,11 @@
     }
   );
 
-  it('should break off an answer whose head has gone out', async () => {
-    // The answer exceeds what is held back, so the caller has its head and
-    // some of the body when the target dies. A closed connection short of the
-    // promised length is all that is left; a retry would splice two answers.
+  it('should destroy the connection when a response is lost after its head', async () => {
+    // The response is larger than the maximum to hold back, so the caller has
+    // its head and a part of its body when the target dies. A retry would
+    // splice two responses, so the connection is closed short of the stated
+    // length.
     const {port: broken} = await scripted((_req, res) => {
       res.writeHead(200, {'content-length': 10_000});
       res.write('x'.repeat(5000), () => res.destroy());
@@ -118,7 +124,7 @@
   });
 
   it.each([
-    ['the caller goes', 'caller gone'],
+    ['the caller disconnects', 'caller gone'],
     ['the deadline passes', 'lost'],
   ])('should stop the target when %s', async (name, kind) => {
     const abort = new AbortController();
@@ -130,7 +136,7 @@
       res
         .writeHead(200)
         .write('x', () =>
-          name === 'the caller goes' ? caller?.destroy() : abort.abort()
+          name === 'the caller disconnects' ? caller?.destroy() : abort.abort()
         );
     });
     const {port, ends} = await relayTo(
@@ -145,7 +151,7 @@
     expect(ends.map(end => end.kind)).toEqual([kind]);
   });
 
-  it('should not outrun a caller that reads slowly', async () => {
+  it('should apply back-pressure for a caller that reads slowly', async () => {
     const written: number[] = [];
     const waiting: (() => void)[] = [];
     const caller = new Writable({
@@ -156,11 +162,11 @@
       },
     });
     const ledger = await started(new FakeLedger());
-    const source = await ask(ledger.port, '/echo?bytes=5000000');
-    const end = relayWhole({
+    const source = await openSource(ledger.port, '/echo?bytes=5000000');
+    const end = relayResponse({
       source,
       caller,
-      holdBytes: 0,
+      maxHeldBytes: 0,
       signal: new AbortController().signal,
       writeHead: () => undefined,
       writeEnd: () => caller.end(),
--- a/tests/zoneReturns.spec.ts
+++ b/tests/zoneReturns.spec.ts
@@ -14,13 +14,13 @@
   return new RuleIndex(parsed.ruleSet);
 }
 
-// The returning zone's targets look idle, so every entry sends there at once:
-// they are swamped in the second they come back, and callers wait.
+// The targets of a returning zone look idle. Without a ramp, every entry would
+// send its requests there and overload them in the first second.
 describe('return of an availability zone', () => {
-  it('should give the zone a growing part of its share', () => {
+  it('should give the zone a growing fraction of its share', () => {
     const returns = new ZoneReturns();
-    returns.follow(rules(1, 'quay-b'), 0);
-    returns.follow(rules(2), 1_000);
+    returns.update(rules(1, 'quay-b'), 0);
+    returns.update(rules(2), 1_000);
     const weights = [1_000, 3_000, 6_000, 60_000].map(at =>
       returns.weight('quay-b', at)
     );
@@ -29,10 +29,10 @@
     expect(weights.at(-1)).toBe(1);
   });
 
-  it('should leave zones alone that were in service all along', () => {
+  it('should give a zone its full share if it was always in service', () => {
     const returns = new ZoneReturns();
-    returns.follow(rules(1, 'quay-b'), 0);
-    returns.follow(rules(2), 1_000);
+    returns.update(rules(1, 'quay-b'), 0);
+    returns.update(rules(2), 1_000);
     expect(returns.weight('quay-a', 1_000)).toBe(1);
   });
 });
