--- a/src/entry/dispatchOnce.ts
+++ b/src/entry/dispatchOnce.ts
@@ -38,7 +38,7 @@
     }
   | {readonly kind: 'refused'; readonly refusal: Refusal};
 
-/** Turns a failed connection into a refusal by whether it may have run. */
+/** A failed connection is a refusal: "outcome unknown" once bytes were sent. */
 export async function dispatchAttempt(
   core: EntryCore,
   call: ClassifiedCall,
