--- a/src/control/agentClients.ts
+++ b/src/control/agentClients.ts
@@ -9,7 +9,7 @@
 
   constructor(private readonly connect: PeerClientFactory) {}
 
-  of({
+  clientFor({
     targetId,
     host,
     port,
--- a/src/control/announcedChange.ts
+++ b/src/control/announcedChange.ts
@@ -7,56 +7,60 @@
 import type {Announcement} from '../core/wire';
 
 /** A change of load that could turn a choice waits no longer than this. */
-const LARGE_CHANGE_MS = 1_000;
+const LARGE_CHANGE_INTERVAL_MS = 1_000;
 /** Any other change of load waits no longer than this. */
-export const LOAD_CHANGE_MS = 5_000;
+export const SMALL_CHANGE_INTERVAL_MS = 5_000;
 /** A large change, in parts of what the target may run at once. */
-const LARGE_PART = 0.25;
+const LARGE_CHANGE_RATIO = 0.25;
 /** Less than this changes no choice that matters, and is not told at all. */
-const SMALL_PART = 1 / 16;
+const SMALL_CHANGE_RATIO = 1 / 16;
 /**
  * About a short answer. The choice reads requests, not tokens, so these are
  * mostly told beside other changes.
  */
-const TOKEN_STEP = 256;
+const MIN_TOKEN_CHANGE = 256;
 
 /** Whether `next` must be passed on, `sinceMs` after `told` was. */
-export function mustTell(
-  told: Announcement,
+export function shouldPublish(
+  published: Announcement,
   next: Announcement,
   sinceMs: number
 ): boolean {
-  if (identityOf(told) !== identityOf(next)) return true;
+  if (nonLoadFields(published) !== nonLoadFields(next)) return true;
   // At 0 a target takes nothing: either way, entries must know at once.
-  if (told.limit > 0 !== next.limit > 0) return true;
-  if (moved(told, next) > Math.max(1, told.limit * LARGE_PART))
-    return sinceMs >= LARGE_CHANGE_MS;
-  return sinceMs >= LOAD_CHANGE_MS && isSmallChange(told, next);
+  if (published.limit > 0 !== next.limit > 0) return true;
+  if (
+    loadChange(published, next) >
+    Math.max(1, published.limit * LARGE_CHANGE_RATIO)
+  )
+    return sinceMs >= LARGE_CHANGE_INTERVAL_MS;
+  return sinceMs >= SMALL_CHANGE_INTERVAL_MS && isNoticeable(published, next);
 }
 
 /** All but the load, the sequence number and the age of the load report. */
-function identityOf(announcement: Announcement): string {
+function nonLoadFields(announcement: Announcement): string {
   const {agentBootId, host, port, pool, availabilityZone} = announcement;
   const {state, temperature, model, modelVersion, group} = announcement;
-  const place = [agentBootId, host, port, pool, availabilityZone];
+  const location = [agentBootId, host, port, pool, availabilityZone];
   // Entries tell a warm target from any other, and no more.
-  const kind = [state, temperature === 'warm', model, modelVersion];
-  return JSON.stringify([place, kind, group?.id, group?.rank]);
+  const status = [state, temperature === 'warm', model, modelVersion];
+  return JSON.stringify([location, status, group?.id, group?.rank]);
 }
 
-function isSmallChange(told: Announcement, next: Announcement): boolean {
-  const tokens = (next.tokensInWork ?? 0) - (told.tokensInWork ?? 0);
+function isNoticeable(published: Announcement, next: Announcement): boolean {
+  const tokens = (next.tokensInWork ?? 0) - (published.tokensInWork ?? 0);
   return (
-    moved(told, next) >= Math.max(1, told.limit * SMALL_PART) ||
-    Math.abs(tokens) >= TOKEN_STEP ||
-    told.slowdown !== next.slowdown ||
-    JSON.stringify(told.prefixes) !== JSON.stringify(next.prefixes)
+    loadChange(published, next) >=
+      Math.max(1, published.limit * SMALL_CHANGE_RATIO) ||
+    Math.abs(tokens) >= MIN_TOKEN_CHANGE ||
+    published.slowdown !== next.slowdown ||
+    JSON.stringify(published.prefixes) !== JSON.stringify(next.prefixes)
   );
 }
 
 /** By how many requests the work or the limit moved. */
-function moved(told: Announcement, next: Announcement): number {
+function loadChange(published: Announcement, next: Announcement): number {
   const work = ({outstanding, queued}: Announcement) => outstanding + queued;
-  const byWork = Math.abs(work(next) - work(told));
-  return Math.max(byWork, Math.abs(next.limit - told.limit));
+  const workChange = Math.abs(work(next) - work(published));
+  return Math.max(workChange, Math.abs(next.limit - published.limit));
 }
--- a/src/control/controlContext.ts
+++ b/src/control/controlContext.ts
@@ -7,7 +7,7 @@
 import type {RecentRules} from './recentRules';
 import type {ControlState} from './state/controlState';
 import type {UsageTable} from './usageTable';
-import type {ZonesOut} from './zonesOut';
+import type {ZoneStatusCache} from './zonesOut';
 
 /** One instance's parts. */
 export interface ControlContext {
@@ -17,7 +17,7 @@
   readonly state: ControlState;
   readonly members: MemberTable;
   readonly entryViews: EntryViews;
-  readonly zones: ZonesOut;
+  readonly zones: ZoneStatusCache;
   readonly recentRules: RecentRules;
   readonly usage: UsageTable;
   readonly logger: Logger;
--- a/src/control/controlProcess.ts
+++ b/src/control/controlProcess.ts
@@ -22,7 +22,7 @@
 import {fixedPeers} from './log/logOptions';
 import type {ReplicatedLog} from './log/replicatedLog';
 import {FROM_RANK} from './maps/fromRankSchema';
-import {MapDirector} from './maps/mapDirector';
+import {MapManager} from './maps/mapDirector';
 import {MemberTable} from './memberTable';
 import {checkOrderMethod} from './methods/checkOrderMethod';
 import {claimMethod, lookupMethod, settleMethod} from './methods/claimMethods';
@@ -31,13 +31,13 @@
 import {statusMethod, usageMethod} from './methods/statusMethods';
 import {submitMethod} from './methods/submitMethod';
 import {RecentRules} from './recentRules';
-import {RulesInForce} from './rulesInForce';
+import {CommittedRules} from './rulesInForce';
 import {ControlState} from './state/controlState';
 import {UsageTable} from './usageTable';
-import {ZonesOut} from './zonesOut';
+import {ZoneStatusCache} from './zonesOut';
 
-const PEER_TIMEOUT_MS = 1_000;
-const USAGE_PERIOD_MS = 5_000;
+const PEER_CALL_TIMEOUT_MS = 1_000;
+const USAGE_LOG_INTERVAL_MS = 5_000;
 
 /** Settings that the instance runs by. */
 export interface ControlProcessOptions {
@@ -81,22 +81,22 @@
       state,
       members,
       entryViews: new EntryViews(members),
-      zones: new ZonesOut(state.rules),
+      zones: new ZoneStatusCache(state.rules),
       recentRules: new RecentRules(),
       usage: new UsageTable(state.usage),
       logger: options.logger,
     };
     const {logger, metrics} = options;
-    const director = new MapDirector({...context, connect, logger, metrics});
-    addMethods(server, context, director);
+    const mapManager = new MapManager({...context, connect, logger, metrics});
+    addMethods(server, context, mapManager);
     const port = await server.listen();
-    const usage = interval(USAGE_PERIOD_MS).pipe(
-      exhaustMap(() => logUsage(context))
+    const usage = interval(USAGE_LOG_INTERVAL_MS).pipe(
+      exhaustMap(() => proposeUsage(context))
     );
     const subscription = usage.subscribe();
     subscription.add(traffic.report(metrics));
-    subscription.add(director.start());
-    subscription.add(startFleet(context, connect, metrics));
+    subscription.add(mapManager.start());
+    subscription.add(startFleetController(context, connect, metrics));
     return new ControlProcess(port, server, log, subscription);
   }
 
@@ -107,12 +107,12 @@
   }
 }
 
-function startFleet(
+function startFleetController(
   {instanceId, log, state, members, logger}: ControlContext,
   connect: PeerClientFactory,
   metrics: Metrics
 ): Subscription {
-  const rules = new RulesInForce(state.rules);
+  const rules = new CommittedRules(state.rules);
   const clients = new AgentClients(connect);
   return new FleetController({
     instanceId,
@@ -123,8 +123,8 @@
     send: async (targetId, order) => {
       const target = members.listTargets().find(t => t.targetId === targetId);
       if (target === undefined) return undefined;
-      const client = clients.of(target);
-      return client.call(METHODS.modelOrder, order, PEER_TIMEOUT_MS);
+      const client = clients.clientFor(target);
+      return client.call(METHODS.modelOrder, order, PEER_CALL_TIMEOUT_MS);
     },
     metrics,
     logger,
@@ -141,7 +141,7 @@
     .map(address => {
       const client = connect(address);
       const send = (message: unknown) =>
-        client.call<unknown>(METHODS.log, {message}, PEER_TIMEOUT_MS);
+        client.call<unknown>(METHODS.log, {message}, PEER_CALL_TIMEOUT_MS);
       return {id: address.id, send};
     });
   const {id, dataDir, logger, metrics, onFatal} = options;
@@ -160,7 +160,7 @@
 function addMethods(
   server: PeerServer,
   context: ControlContext,
-  director: MapDirector
+  mapManager: MapManager
 ): void {
   server.addMethod(METHODS.poll, pollMethod(context));
   server.addMethod(METHODS.submit, submitMethod(context));
@@ -174,7 +174,7 @@
   server.addMethod(METHODS.map, {
     params: FROM_RANK,
     handle: message => {
-      director.receive(message);
+      mapManager.receive(message);
       return {};
     },
   });
@@ -185,10 +185,14 @@
 }
 
 /** The leader makes the counters that it has heard of durable. */
-async function logUsage({log, usage, logger}: ControlContext): Promise<void> {
-  const lacking = usage.toLog(performance.now());
+async function proposeUsage({
+  log,
+  usage,
+  logger,
+}: ControlContext): Promise<void> {
+  const unlogged = usage.listUnlogged(performance.now());
   if (log.status().role !== 'leader') return;
-  for (const report of lacking) {
+  for (const report of unlogged) {
     try {
       await log.propose({kind: 'usage', ...report});
     } catch (err) {
--- a/src/control/entryViews.ts
+++ b/src/control/entryViews.ts
@@ -19,7 +19,7 @@
 } from '../policy/subset';
 import {MEMBER_TTL_MS, MemberTable} from './memberTable';
 
-interface PoolView {
+interface PoolSubset {
   readonly version: number;
   readonly size: number;
   readonly ids: readonly string[];
@@ -30,8 +30,8 @@
   readonly bootId: string;
   readonly version: number;
   /** Its subset, as it was told. */
-  readonly told: ReadonlyMap<string, Announcement>;
-  readonly pools: ReadonlyMap<string, PoolView>;
+  readonly sent: ReadonlyMap<string, Announcement>;
+  readonly pools: ReadonlyMap<string, PoolSubset>;
   readonly atMs: number;
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** The zones that the rules in force here take out, with their revision. */
-export interface ZonesInForce {
+export interface ZoneStatus {
   readonly revision: number;
   isZoneOut(availabilityZone: string): boolean;
 }
@@ -51,7 +51,7 @@
   private readonly views = new Map<string, EntryView>();
   private readonly pools = new Map<string, PoolCandidates>();
   private revision = 0;
-  private expiredAtMs = 0;
+  private lastExpiryAtMs = 0;
 
   constructor(private readonly members: MemberTable) {}
 
@@ -59,12 +59,12 @@
   changesFor(
     {processId, bootId, subset}: PollRequest,
     since: number | undefined,
-    zones: ZonesInForce,
+    zones: ZoneStatus,
     nowMs: number
   ): MembersAnswer {
     if (subset === undefined) return this.members.changesSince(since);
     this.expire(nowMs);
-    this.follow(zones);
+    this.applyZones(zones);
     const known = this.views.get(processId);
     const held =
       known?.bootId === bootId && known.version === since ? known : undefined;
@@ -73,52 +73,58 @@
       this.views.set(processId, {...held, atMs: nowMs});
       return {version};
     }
-    const pools = this.poolViews(processId, subset, known?.pools, zones);
-    const told = this.toldTo(pools, held);
-    this.views.set(processId, {bootId, version, told, pools, atMs: nowMs});
+    const pools = this.selectSubsets(processId, subset, known?.pools, zones);
+    const next = this.collectAnnouncements(pools, held);
+    this.views.set(processId, {
+      bootId,
+      version,
+      sent: next,
+      pools,
+      atMs: nowMs,
+    });
     if (held === undefined)
-      return {version, full: true, changed: [...told.values()]};
-    return {version, ...difference(held.told, told)};
+      return {version, full: true, changed: [...next.values()]};
+    return {version, ...diffMembers(held.sent, next)};
   }
 
   /** What did not change keeps its identity. */
-  private toldTo(
+  private collectAnnouncements(
     pools: EntryView['pools'],
     held: EntryView | undefined
-  ): EntryView['told'] {
-    const told = new Map<string, Announcement>();
+  ): EntryView['sent'] {
+    const announcements = new Map<string, Announcement>();
     for (const {ids} of pools.values()) {
       for (const id of ids) {
-        const known = held?.told.get(id);
-        const isOld =
+        const known = held?.sent.get(id);
+        const isUnchanged =
           known !== undefined &&
           held !== undefined &&
           !this.members.changedAfter(id, held.version);
-        const now = isOld ? known : this.members.toldOf(id);
-        if (now !== undefined) told.set(id, now);
+        const current = isUnchanged ? known : this.members.findPublished(id);
+        if (current !== undefined) announcements.set(id, current);
       }
     }
-    return told;
+    return announcements;
   }
 
   /** A zone that goes out or comes back changes every subset. */
-  private follow({revision}: ZonesInForce): void {
+  private applyZones({revision}: ZoneStatus): void {
     if (revision === this.revision) return;
     this.revision = revision;
-    this.members.usabilityChanged();
+    this.members.markAllPoolsChanged();
   }
 
-  private poolViews(
+  private selectSubsets(
     entryId: string,
     size: number,
     known: EntryView['pools'] | undefined,
-    zones: ZonesInForce
-  ): ReadonlyMap<string, PoolView> {
-    const views = new Map<string, PoolView>();
+    zones: ZoneStatus
+  ): ReadonlyMap<string, PoolSubset> {
+    const subsets = new Map<string, PoolSubset>();
     for (const [pool, {version}] of this.members.listPools()) {
-      const view = known?.get(pool);
-      if (view?.version === version && view.size === size) {
-        views.set(pool, view);
+      const knownSubset = known?.get(pool);
+      if (knownSubset?.version === version && knownSubset.size === size) {
+        subsets.set(pool, knownSubset);
         continue;
       }
       const candidates = this.candidatesOf(pool, version, zones);
@@ -126,20 +132,20 @@
       const seed = entrySeed(`${entryId}/${pool}`);
       const chosen = chooseSubset(seed, candidates, size);
       const ids = chosen.map(({targetId}) => targetId);
-      views.set(pool, {version, size, ids});
+      subsets.set(pool, {version, size, ids});
     }
-    return views;
+    return subsets;
   }
 
   private candidatesOf(
     pool: string,
     version: number,
-    zones: ZonesInForce
+    zones: ZoneStatus
   ): readonly SubsetCandidate[] {
     const known = this.pools.get(pool);
     if (known?.version === version) return known.candidates;
     const candidates = this.members
-      .toldOfPool(pool)
+      .listPublished(pool)
       .map(({targetId, availabilityZone, state, limit}) => ({
         targetId,
         availabilityZone,
@@ -154,28 +160,28 @@
   }
 
   private expire(nowMs: number): void {
-    if (nowMs - this.expiredAtMs < MEMBER_TTL_MS) return;
-    this.expiredAtMs = nowMs;
+    if (nowMs - this.lastExpiryAtMs < MEMBER_TTL_MS) return;
+    this.lastExpiryAtMs = nowMs;
     for (const [id, {atMs}] of this.views)
       if (nowMs - atMs > MEMBER_TTL_MS) this.views.delete(id);
   }
 }
 
 /** The way from what an entry holds to its subset now. */
-function difference(
-  held: EntryView['told'],
-  told: EntryView['told']
+function diffMembers(
+  held: EntryView['sent'],
+  next: EntryView['sent']
 ): Omit<MembersAnswer, 'version'> {
   const changed: Announcement[] = [];
   const updated: AnnouncementUpdate[] = [];
-  for (const [id, now] of told) {
+  for (const [id, current] of next) {
     const known = held.get(id);
-    if (known === now) continue;
-    if (known?.agentBootId === now.agentBootId)
-      updated.push(updateOf(known, now));
-    else changed.push(now);
+    if (known === current) continue;
+    if (known?.agentBootId === current.agentBootId)
+      updated.push(updateOf(known, current));
+    else changed.push(current);
   }
-  const removed = [...held.keys()].filter(id => !told.has(id));
+  const removed = [...held.keys()].filter(id => !next.has(id));
   return {
     changed: changed.length > 0 ? changed : undefined,
     updated: updated.length > 0 ? updated : undefined,
--- a/src/control/fleet/fleetController.ts
+++ b/src/control/fleet/fleetController.ts
@@ -16,17 +16,17 @@
 import {FleetMachine} from './fleetMachine';
 import type {FleetAction, FleetEvent} from './fleetMachine';
 import type {FleetState} from './fleetState';
-import {poolView, poolWork, ruleKey} from './fleetViews';
+import {poolDemand, poolView, ruleKey} from './fleetViews';
 
-const TICK_MS = 1_000;
+const TICK_INTERVAL_MS = 1_000;
 /** A look at 1,000 targets costs milliseconds, and loads take minutes. */
-const PLAN_MS = 5_000;
+const PLAN_INTERVAL_MS = 5_000;
 /** Guess of the time of a load until one was seen. */
-const FIRST_LOAD_MS = 120_000;
-const LEARN_PART = 0.2;
+const INITIAL_LOAD_MS = 120_000;
+const LOAD_SMOOTHING = 0.2;
 
 /** What the loop works with. */
-export interface FleetParts {
+export interface FleetControllerDependencies {
   readonly instanceId: string;
   readonly log: Pick<ReplicatedLog, 'propose' | 'readBarrier' | 'status$'>;
   readonly state: FleetState;
@@ -42,72 +42,74 @@
 }
 
 /** What this instance has learned while it leads. */
-interface Learned {
+interface LeaderState {
   readonly demand: Map<string, FleetDemand>;
   readonly orderedAtMs: Map<string, number>;
   readonly changedAtMs: Map<string, number>;
 }
 
-function nothing(): Learned {
+function emptyLeaderState(): LeaderState {
   return {demand: new Map(), orderedAtMs: new Map(), changedAtMs: new Map()};
 }
 
 /** Idle while the instance does not lead. */
 export class FleetController {
   private readonly machine: FleetMachine;
-  private learned = nothing();
-  private loadMs = FIRST_LOAD_MS;
+  private leaderState = emptyLeaderState();
+  private loadMs = INITIAL_LOAD_MS;
   private blocked = '';
   private plannedAtMs = -Infinity;
 
-  constructor(private readonly parts: FleetParts) {
+  constructor(private readonly dependencies: FleetControllerDependencies) {
     this.machine = new FleetMachine({
-      holder: parts.instanceId,
-      resendMs: TICK_MS,
-      proposeRetryMs: 3 * TICK_MS,
+      holder: dependencies.instanceId,
+      resendMs: TICK_INTERVAL_MS,
+      proposeRetryMs: 3 * TICK_INTERVAL_MS,
     });
   }
 
   start(): Subscription {
-    const leads = this.parts.log.status$.pipe(
+    const leads = this.dependencies.log.status$.pipe(
       map(status => status.role === 'leader'),
       distinctUntilChanged()
     );
-    const all = leads.subscribe(leader => {
-      this.learned = nothing();
+    const subscription = leads.subscribe(leader => {
+      this.leaderState = emptyLeaderState();
       this.handle({kind: leader ? 'lead' : 'resign'});
     });
-    all.add(interval(TICK_MS).subscribe(() => this.tick()));
-    return all;
+    subscription.add(interval(TICK_INTERVAL_MS).subscribe(() => this.tick()));
+    return subscription;
   }
 
   private tick(): void {
-    const rules = this.parts.rules();
+    const rules = this.dependencies.rules();
     if (rules === undefined) return;
     const pools = rules.pools().filter(pool => rules.serves(pool).length > 0);
-    const wanted = pools.length > 0 || this.parts.state.open().length > 0;
+    const wanted =
+      pools.length > 0 || this.dependencies.state.open().length > 0;
     this.handle({kind: 'tick', wanted});
     const nowMs = performance.now();
-    if (!this.machine.idle || nowMs - this.plannedAtMs < PLAN_MS) return;
+    if (!this.machine.idle || nowMs - this.plannedAtMs < PLAN_INTERVAL_MS)
+      return;
     this.plannedAtMs = nowMs;
     const plans = pools.map(pool => this.planPool(rules, pool));
-    this.noteBlocked(plans);
+    this.reportBlocked(plans);
     const changes = plans.flatMap(plan => plan.orders);
     if (changes.length > 0) this.handle({kind: 'plan', changes});
   }
 
   private planPool(rules: RuleIndex, pool: string) {
     const nowMs = performance.now();
-    const targets = this.parts.targets();
-    const demand = this.learned.demand.get(pool) ?? new FleetDemand();
-    this.learned.demand.set(pool, demand);
-    demand.observe(poolWork(targets, rules, pool), nowMs);
+    const targets = this.dependencies.targets();
+    const demand = this.leaderState.demand.get(pool) ?? new FleetDemand();
+    this.leaderState.demand.set(pool, demand);
+    demand.observe(poolDemand(targets, rules, pool), nowMs);
     // A leader that has just begun has not heard of every target yet.
     if (!demand.settled(nowMs)) return {orders: [], blocked: []};
-    const view = poolView(targets, rules, pool, this.parts.state, {
+    const view = poolView(targets, rules, pool, this.dependencies.state, {
       demand: demand.levelsNow(),
       loadMs: this.loadMs,
-      changedAtMs: this.learned.changedAtMs,
+      changedAtMs: this.leaderState.changedAtMs,
       nowMs,
     });
     const {changes, blocked} = planFleet(view, FLEET_DEFAULTS);
@@ -122,23 +124,23 @@
   }
 
   /** Told when it changes: a roll-out that stands still needs an operator. */
-  private noteBlocked(plans: readonly Pick<FleetPlan, 'blocked'>[]): void {
+  private reportBlocked(plans: readonly Pick<FleetPlan, 'blocked'>[]): void {
     const blocked = plans.flatMap(plan => plan.blocked);
     const text = JSON.stringify(blocked);
     if (text === this.blocked) return;
     this.blocked = text;
     for (const {reason} of blocked)
-      this.parts.metrics.count('fleet.blocked', {reason});
+      this.dependencies.metrics.count('fleet.blocked', {reason});
     if (blocked.length > 0)
-      this.parts.logger.warn({blocked}, 'models wait for targets');
+      this.dependencies.logger.warn({blocked}, 'models wait for targets');
   }
 
   private handle(event: FleetEvent): void {
     const actions = this.machine.handle(event, performance.now());
-    actions.forEach(action => this.carryOut(action));
+    actions.forEach(action => this.perform(action));
   }
 
-  private carryOut(action: FleetAction): void {
+  private perform(action: FleetAction): void {
     switch (action.kind) {
       case 'propose':
         return this.propose(action.command);
@@ -155,47 +157,47 @@
   private propose(
     command: Extract<FleetAction, {kind: 'propose'}>['command']
   ): void {
-    this.parts.log.propose(command).then(
-      answer => {
-        if (answer.command === 'fleetFence')
-          return this.handle({kind: 'fence', fence: answer.result.fence});
-        if (command.kind === 'fleetFence' || !('result' in answer)) return;
-        if (answer.command !== 'fleetOrder' && answer.command !== 'fleetEnd')
+    this.dependencies.log.propose(command).then(
+      applied => {
+        if (applied.command === 'fleetFence')
+          return this.handle({kind: 'fence', fence: applied.result.fence});
+        if (command.kind === 'fleetFence' || !('result' in applied)) return;
+        if (applied.command !== 'fleetOrder' && applied.command !== 'fleetEnd')
           return;
-        if (answer.result.kind === 'recorded') this.noteRecorded(command);
-        const open = this.parts.state.open();
-        const {kind: result} = answer.result;
+        if (applied.result.kind === 'recorded') this.onRecorded(command);
+        const open = this.dependencies.state.open();
+        const {kind: result} = applied.result;
         this.handle({kind: 'recorded', command, result, open});
       },
-      err => this.parts.logger.info({err}, 'proposal lost')
+      err => this.dependencies.logger.info({err}, 'proposal lost')
     );
   }
 
-  private noteRecorded(
+  private onRecorded(
     command: Exclude<
       Extract<FleetAction, {kind: 'propose'}>['command'],
       {kind: 'fleetFence'}
     >
   ): void {
     const nowMs = performance.now();
-    const {learned, parts} = this;
+    const {leaderState, dependencies} = this;
     if (command.kind === 'fleetOrder') {
-      parts.metrics.count('fleet.ordered', {}, command.changes.length);
-      parts.logger.info({changes: command.changes}, 'models ordered');
+      dependencies.metrics.count('fleet.ordered', {}, command.changes.length);
+      dependencies.logger.info({changes: command.changes}, 'models ordered');
       for (const {targetId} of command.changes)
-        learned.orderedAtMs.set(targetId, nowMs);
+        leaderState.orderedAtMs.set(targetId, nowMs);
       return;
     }
     const {targetId, outcome} = command;
-    parts.metrics.count('fleet.ended', {outcome});
-    learned.changedAtMs.set(targetId, nowMs);
-    const orderedAtMs = learned.orderedAtMs.get(targetId);
+    dependencies.metrics.count('fleet.ended', {outcome});
+    leaderState.changedAtMs.set(targetId, nowMs);
+    const orderedAtMs = leaderState.orderedAtMs.get(targetId);
     if (outcome === 'done' && orderedAtMs !== undefined)
-      this.loadMs += LEARN_PART * (nowMs - orderedAtMs - this.loadMs);
+      this.loadMs += LOAD_SMOOTHING * (nowMs - orderedAtMs - this.loadMs);
   }
 
   private read(seq: number): void {
-    const {log, state, logger} = this.parts;
+    const {log, state, logger} = this.dependencies;
     log.readBarrier().then(
       () => {
         const {fence} = state;
@@ -206,7 +208,7 @@
   }
 
   private send(targetId: string, order: ModelOrder): void {
-    const {send, logger} = this.parts;
+    const {send, logger} = this.dependencies;
     send(targetId, order).then(
       answer => {
         if (answer === undefined) return;
--- a/src/control/fleet/fleetMachine.ts
+++ b/src/control/fleet/fleetMachine.ts
@@ -87,17 +87,17 @@
 export class FleetMachine {
   private phase: Phase = {kind: 'following'};
   private openOrders: readonly OpenOrder[] = [];
-  private ends = new Map<string, FleetEndCommand>();
+  private pendingEnds = new Map<string, FleetEndCommand>();
   private newestFence = 0;
   private seq = 0;
-  private planned = 0;
-  private sentAtMs = -Infinity;
+  private plannedCount = 0;
+  private lastSentAtMs = -Infinity;
 
   constructor(private readonly cfg: FleetMachineConfig) {}
 
   /** Whether new orders may be planned. */
   get idle(): boolean {
-    return this.phase.kind === 'idle' && this.ends.size === 0;
+    return this.phase.kind === 'idle' && this.pendingEnds.size === 0;
   }
 
   handle(event: FleetEvent, nowMs: number): readonly FleetAction[] {
@@ -127,14 +127,14 @@
   private resign(): readonly FleetAction[] {
     this.phase = {kind: 'following'};
     this.openOrders = [];
-    this.ends.clear();
+    this.pendingEnds.clear();
     return [];
   }
 
-  private takeFence(nowMs: number): readonly FleetAction[] {
+  private requestFence(nowMs: number): readonly FleetAction[] {
     this.phase = {kind: 'fencing'};
-    this.ends.clear();
-    this.sentAtMs = nowMs;
+    this.pendingEnds.clear();
+    this.lastSentAtMs = nowMs;
     return [this.fenceAction()];
   }
 
@@ -146,7 +146,7 @@
   private onFence(fence: number): readonly FleetAction[] {
     if (this.phase.kind !== 'fencing' || fence <= this.newestFence) return [];
     this.newestFence = fence;
-    this.planned = 0;
+    this.plannedCount = 0;
     return this.read(fence);
   }
 
@@ -161,19 +161,19 @@
   ): readonly FleetAction[] {
     const {phase} = this;
     if (phase.kind !== 'reading' || seq !== phase.seq) return [];
-    if (fence !== phase.fence) return this.takeFence(nowMs);
+    if (fence !== phase.fence) return this.requestFence(nowMs);
     this.phase = {kind: 'idle', fence};
     this.openOrders = open;
-    return this.sends(fence, open);
+    return this.sendActions(fence, open);
   }
 
   /** An order taken over keeps its id: the agent may be at it already. */
-  private sends(
+  private sendActions(
     fence: number,
     orders: readonly OpenOrder[]
   ): readonly FleetAction[] {
     return orders
-      .filter(({targetId}) => !this.ends.has(targetId))
+      .filter(({targetId}) => !this.pendingEnds.has(targetId))
       .map(({targetId, id, model, version}) => ({
         kind: 'send',
         targetId,
@@ -188,13 +188,13 @@
     if (this.phase.kind !== 'idle' || !this.idle) return [];
     if (changes.length === 0) return [];
     const {fence} = this.phase;
-    const id = versionOf(fence, ++this.planned);
+    const id = versionOf(fence, ++this.plannedCount);
     return this.record({kind: 'fleetOrder', fence, id, changes}, nowMs);
   }
 
   private record(command: Recorded, nowMs: number): readonly FleetAction[] {
     this.phase = {kind: 'recording', fence: command.fence, command};
-    this.sentAtMs = nowMs;
+    this.lastSentAtMs = nowMs;
     return [{kind: 'propose', command}];
   }
 
@@ -204,14 +204,17 @@
   ): readonly FleetAction[] {
     const {phase} = this;
     if (phase.kind !== 'recording' || phase.command !== command) return [];
-    if (result === 'fenced') return this.takeFence(nowMs);
+    if (result === 'fenced') return this.requestFence(nowMs);
     const {fence} = phase;
     this.phase = {kind: 'idle', fence};
     const known = new Set(this.openOrders.map(({targetId}) => targetId));
     this.openOrders = open;
-    if (command.kind === 'fleetEnd') this.ends.delete(command.targetId);
-    const fresh = open.filter(({targetId}) => !known.has(targetId));
-    return [...this.sends(fence, fresh), ...this.nextEnd(nowMs)];
+    if (command.kind === 'fleetEnd') this.pendingEnds.delete(command.targetId);
+    const newOrders = open.filter(({targetId}) => !known.has(targetId));
+    return [
+      ...this.sendActions(fence, newOrders),
+      ...this.recordNextEnd(nowMs),
+    ];
   }
 
   private onAnswer(
@@ -223,30 +226,36 @@
     if (!('fence' in phase) || order.fence !== phase.fence) return [];
     if (answer.kind === 'changing') return [];
     if (answer.kind === 'fenced')
-      return answer.highestFence > phase.fence ? this.takeFence(nowMs) : [];
+      return answer.highestFence > phase.fence ? this.requestFence(nowMs) : [];
     const open = this.openOrders.some(
       one => one.targetId === targetId && one.id === order.id
     );
-    if (!open || this.ends.has(targetId)) return [];
+    if (!open || this.pendingEnds.has(targetId)) return [];
     const {fence, id} = order;
     const outcome = answer.kind;
-    this.ends.set(targetId, {kind: 'fleetEnd', fence, id, targetId, outcome});
-    return this.nextEnd(nowMs);
+    this.pendingEnds.set(targetId, {
+      kind: 'fleetEnd',
+      fence,
+      id,
+      targetId,
+      outcome,
+    });
+    return this.recordNextEnd(nowMs);
   }
 
-  private nextEnd(nowMs: number): readonly FleetAction[] {
-    const [end] = this.ends.values();
+  private recordNextEnd(nowMs: number): readonly FleetAction[] {
+    const [end] = this.pendingEnds.values();
     if (this.phase.kind !== 'idle' || end === undefined) return [];
     return this.record(end, nowMs);
   }
 
   private onTick(wanted: boolean, nowMs: number): readonly FleetAction[] {
     const {phase} = this;
-    if (phase.kind === 'resting') return wanted ? this.takeFence(nowMs) : [];
+    if (phase.kind === 'resting') return wanted ? this.requestFence(nowMs) : [];
     const {resendMs, proposeRetryMs} = this.cfg;
-    const waitMs = phase.kind === 'idle' ? resendMs : proposeRetryMs;
-    if (nowMs - this.sentAtMs < waitMs) return [];
-    this.sentAtMs = nowMs;
+    const retryIntervalMs = phase.kind === 'idle' ? resendMs : proposeRetryMs;
+    if (nowMs - this.lastSentAtMs < retryIntervalMs) return [];
+    this.lastSentAtMs = nowMs;
     switch (phase.kind) {
       case 'following':
         return [];
@@ -255,7 +264,7 @@
       case 'reading':
         return this.read(phase.fence);
       case 'idle':
-        return this.sends(phase.fence, this.openOrders);
+        return this.sendActions(phase.fence, this.openOrders);
       // The same again, never another one: the first may have counted.
       case 'recording':
         return [{kind: 'propose', command: phase.command}];
--- a/src/control/fleet/fleetState.ts
+++ b/src/control/fleet/fleetState.ts
@@ -21,7 +21,7 @@
 }
 
 /** What a target was last changed to. */
-export interface HeldModel {
+export interface LoadedModel {
   readonly model: string;
   readonly version: string;
 }
@@ -32,7 +32,7 @@
   readonly holder: string;
   readonly lastId: number;
   readonly open: readonly OpenOrder[];
-  readonly changed: readonly (readonly [string, HeldModel])[];
+  readonly changed: readonly (readonly [string, LoadedModel])[];
   readonly failures: readonly (readonly [string, number])[];
 }
 
@@ -46,27 +46,27 @@
 
 /** Applies fences, orders and their ends in log order. */
 export class FleetState {
-  private highest = 0;
+  private newestFence = 0;
   private holder = '';
   private lastId = 0;
-  private orders = new Map<string, OpenOrder>();
-  private changed = new Map<string, HeldModel>();
+  private openByTarget = new Map<string, OpenOrder>();
+  private changed = new Map<string, LoadedModel>();
   private failures = new Map<string, number>();
 
   /** Highest fence given out; 0 before the first. */
   get fence(): number {
-    return this.highest;
+    return this.newestFence;
   }
 
   open(): readonly OpenOrder[] {
-    return [...this.orders.values()];
+    return [...this.openByTarget.values()];
   }
 
-  openAt(targetId: string): OpenOrder | undefined {
-    return this.orders.get(targetId);
+  openOrderOf(targetId: string): OpenOrder | undefined {
+    return this.openByTarget.get(targetId);
   }
 
-  changedTo(targetId: string): HeldModel | undefined {
+  lastModelOf(targetId: string): LoadedModel | undefined {
     return this.changed.get(targetId);
   }
 
@@ -76,30 +76,30 @@
   }
 
   applyFence({holder}: FleetFenceCommand): {readonly fence: number} {
-    this.highest++;
+    this.newestFence++;
     this.holder = holder;
-    return {fence: this.highest};
+    return {fence: this.newestFence};
   }
 
   applyOrder({fence, id, changes}: FleetOrderCommand): FleetResult {
     // What an older leader had not recorded in time must never be recorded: the
     // newer one has planned without it.
-    if (fence !== this.highest) return FENCED;
+    if (fence !== this.newestFence) return FENCED;
     // A proposer whose answer was lost proposes the same again.
     if (id <= this.lastId) return RECORDED;
     this.lastId = id;
     for (const change of changes) {
-      if (this.orders.has(change.targetId)) continue;
-      this.orders.set(change.targetId, {id, ...change});
+      if (this.openByTarget.has(change.targetId)) continue;
+      this.openByTarget.set(change.targetId, {id, ...change});
     }
     return RECORDED;
   }
 
   applyEnd({fence, id, targetId, outcome}: FleetEndCommand): FleetResult {
-    if (fence !== this.highest) return FENCED;
-    const order = this.orders.get(targetId);
+    if (fence !== this.newestFence) return FENCED;
+    const order = this.openByTarget.get(targetId);
     if (order?.id !== id) return RECORDED;
-    this.orders.delete(targetId);
+    this.openByTarget.delete(targetId);
     const {rule, model, version} = order;
     if (outcome === 'failed') {
       this.failures.set(rule, this.failuresOf(rule) + 1);
@@ -112,7 +112,7 @@
 
   snapshot(): FleetSnapshot {
     return {
-      fence: this.highest,
+      fence: this.newestFence,
       holder: this.holder,
       lastId: this.lastId,
       open: this.open(),
@@ -122,10 +122,12 @@
   }
 
   restore(snapshot: FleetSnapshot): void {
-    this.highest = snapshot.fence;
+    this.newestFence = snapshot.fence;
     this.holder = snapshot.holder;
     this.lastId = snapshot.lastId;
-    this.orders = new Map(snapshot.open.map(order => [order.targetId, order]));
+    this.openByTarget = new Map(
+      snapshot.open.map(order => [order.targetId, order])
+    );
     this.changed = new Map(snapshot.changed);
     this.failures = new Map(snapshot.failures);
   }
--- a/src/control/fleet/fleetViews.ts
+++ b/src/control/fleet/fleetViews.ts
@@ -10,10 +10,10 @@
 import type {FleetState} from './fleetState';
 
 /** Orders for a rule that fail one after the other until none is given. */
-const MAX_FAILURES = 2;
+const MAX_CONSECUTIVE_FAILURES = 2;
 
 /** What is known beside rules, log and announcements. */
-export interface FleetTimes {
+export interface FleetEstimates {
   readonly demand: ReadonlyMap<string, number>;
   readonly loadMs: number;
   /** When the last order to a target ended, as far as this leader saw it. */
@@ -22,7 +22,7 @@
 }
 
 /** Targets that orders may go to: a group of ranks holds its model together. */
-export function orderable(
+export function orderableTargets(
   targets: readonly Announcement[],
   pool: string
 ): readonly Announcement[] {
@@ -30,7 +30,7 @@
 }
 
 /** Demand in a pool now, in requests at once by model. */
-export function poolWork(
+export function poolDemand(
   targets: readonly Announcement[],
   rules: RuleIndex,
   pool: string
@@ -50,22 +50,24 @@
   rules: RuleIndex,
   pool: string,
   state: FleetState,
-  times: FleetTimes
+  estimates: FleetEstimates
 ): FleetView {
   const serves = rules.serves(pool);
   const {full, overMs} = rules.warmup(pool);
-  const own = orderable(targets, pool);
+  const orderable = orderableTargets(targets, pool);
   const halted = serves.filter(
-    rule => state.failuresOf(ruleKey(rule)) >= MAX_FAILURES
+    rule => state.failuresOf(ruleKey(rule)) >= MAX_CONSECUTIVE_FAILURES
   );
   return {
     models: serves,
-    targets: own.map(target => fleetTarget(target, rules, state, times)),
+    targets: orderable.map(target =>
+      fleetTarget(target, rules, state, estimates)
+    ),
     open: state.open(),
     halted: new Set(halted.map(({model}) => model)),
     full,
     warmupMs: overMs,
-    ...times,
+    ...estimates,
   };
 }
 
@@ -73,10 +75,10 @@
   target: Announcement,
   rules: RuleIndex,
   state: FleetState,
-  {changedAtMs}: FleetTimes
+  {changedAtMs}: FleetEstimates
 ): FleetTarget {
   const {targetId, availabilityZone, model, modelVersion} = target;
-  const held = state.changedTo(targetId);
+  const lastModel = state.lastModelOf(targetId);
   return {
     targetId,
     availabilityZone,
@@ -87,7 +89,7 @@
       target.limit > 0 &&
       !rules.isZoneOut(availabilityZone),
     temperature: target.temperature,
-    changed: held?.model === model && held?.version === modelVersion,
+    changed: lastModel?.model === model && lastModel?.version === modelVersion,
     changedAtMs: changedAtMs.get(targetId),
     work: target.outstanding + target.queued,
     limit: target.limit,
--- a/src/control/maps/mapController.ts
+++ b/src/control/maps/mapController.ts
@@ -43,7 +43,7 @@
 }
 
 /** Whether rules let the group rebalance, and from which gain. */
-export interface RebalancePermit {
+export interface RebalancePolicy {
   readonly on: boolean;
   /** Least fall of the skew that starts a load, 0 to 1. */
   readonly minGain: number;
@@ -54,7 +54,7 @@
   private readonly machine: MapSwitch;
   private readonly planner: RebalancePlanner;
   /** Newest report of each rank. */
-  private readonly newest = new Map<number, ExpertCountsReport>();
+  private readonly latestReports = new Map<number, ExpertCountsReport>();
   private readonly step = new StepEstimate();
   private pending?: ExpertMap;
 
@@ -66,7 +66,7 @@
     >,
     private readonly state: MapState,
     private readonly link: RankLink,
-    private readonly permit: () => RebalancePermit,
+    private readonly rebalancePolicy: () => RebalancePolicy,
     private readonly metrics: Metrics,
     private readonly logger: Logger
   ) {
@@ -85,7 +85,7 @@
       this.cfg.tickMs
     ).pipe(map(() => ({kind: 'tick'})));
     return merge(leads, ticks).subscribe(event => {
-      if (event.kind === 'resign') this.forget();
+      if (event.kind === 'resign') this.reset();
       this.handle(event);
       if (event.kind === 'tick') this.plan();
     });
@@ -99,7 +99,7 @@
       case 'staged':
         return this.onStaged(message);
       case 'refusal':
-        this.step.seen(message.step, performance.now());
+        this.step.record(message.step, performance.now());
         return this.handle({kind: 'message', message});
       case 'join':
         // Whoever starts anew has no order to load in hand. Waiting for it to
@@ -114,21 +114,21 @@
     }
   }
 
-  private forget(): void {
+  private reset(): void {
     this.planner.reset();
     this.pending = undefined;
   }
 
   private onCounts(report: ExpertCountsReport): void {
-    const last = this.newest.get(report.rank);
+    const last = this.latestReports.get(report.rank);
     // A restarted agent counts from 1 again. Judged by the number alone, its
     // reports would be dropped for as long as its last boot had run.
     const isLate =
       last?.agentBootId === report.agentBootId && report.seq <= last.seq;
     if (report.group !== this.cfg.group || isLate) return;
-    this.newest.set(report.rank, report);
+    this.latestReports.set(report.rank, report);
     const nowMs = performance.now();
-    this.step.seen(report.step, nowMs);
+    this.step.record(report.step, nowMs);
     const atMs = nowMs - report.ageMs;
     this.planner.observe({atMs, counts: report.counts});
   }
@@ -144,14 +144,18 @@
     const {current} = this.state.group(this.cfg.group);
     const {fence} = this.machine;
     const busy = this.pending === undefined && !this.machine.idle;
-    const {on, minGain} = this.permit();
+    const {on, minGain} = this.rebalancePolicy();
     if (!on || busy || !current || !fence) return;
     const nowMs = performance.now();
     const next = this.planner.next(current.map, this.pending, nowMs, minGain);
     next.stage?.forEach(change => this.stage(change, fence));
     if (next.switchTo === undefined) return;
     this.pending = next.switchTo;
-    this.handle({kind: 'start', map: next.switchTo, step: this.step.at(nowMs)});
+    this.handle({
+      kind: 'start',
+      map: next.switchTo,
+      step: this.step.at(nowMs),
+    });
   }
 
   private stage({rank, slot, expert}: SlotChange, fence: number): void {
@@ -161,10 +165,10 @@
 
   private handle(event: SwitchEvent): void {
     const actions = this.machine.handle(event, performance.now());
-    actions.forEach(action => this.carryOut(action));
+    actions.forEach(action => this.perform(action));
   }
 
-  private carryOut(action: SwitchAction): void {
+  private perform(action: SwitchAction): void {
     switch (action.kind) {
       case 'send':
         return this.link.send(action.rank, action.message);
@@ -191,13 +195,17 @@
   /** Without an answer the machine proposes the same again after a while. */
   private propose(command: FenceCommand | MapDecisionCommand): void {
     this.log.propose(command).then(
-      answer => {
-        if (answer.command === 'fence')
-          this.handle({kind: 'fence', fence: answer.result.fence});
-        if (answer.command !== 'mapDecision' || command.kind === 'fence')
+      applied => {
+        if (applied.command === 'fence')
+          this.handle({kind: 'fence', fence: applied.result.fence});
+        if (applied.command !== 'mapDecision' || command.kind === 'fence')
           return;
         const {version} = command;
-        this.handle({kind: 'decided', version, result: answer.result.kind});
+        this.handle({
+          kind: 'decided',
+          version,
+          result: applied.result.kind,
+        });
       },
       err => this.logger.info({err, kind: command.kind}, 'proposal lost')
     );
--- a/src/control/maps/mapDirector.ts
+++ b/src/control/maps/mapDirector.ts
@@ -13,23 +13,23 @@
 import {AgentClients} from '../agentClients';
 import type {ReplicatedLog} from '../log/replicatedLog';
 import type {MemberTable} from '../memberTable';
-import {RulesInForce} from '../rulesInForce';
+import {CommittedRules} from '../rulesInForce';
 import type {ControlState} from '../state/controlState';
-import {MapController, RebalancePermit} from './mapController';
+import {MapController, RebalancePolicy} from './mapController';
 
 const PERCENT = 100;
-const SCAN_MS = 500;
+const SCAN_INTERVAL_MS = 500;
 const SEND_TIMEOUT_MS = 1_000;
-const TICK_MS = 250;
+const TICK_INTERVAL_MS = 250;
 /** Steps from the order to the switch: two rounds and a quorum write. */
 const MARGIN_STEPS = 50;
 const MAX_MARGIN_STEPS = 800;
 const PROMISE_TIMEOUT_MS = 3_000;
-const RESEND_MS = 200;
-const PROPOSE_RETRY_MS = 3_000;
+const RESEND_INTERVAL_MS = 200;
+const PROPOSE_RETRY_INTERVAL_MS = 3_000;
 
 /** What the director works with. */
-export interface MapDirectorParts {
+export interface MapManagerDependencies {
   readonly instanceId: string;
   readonly log: ReplicatedLog;
   readonly state: ControlState;
@@ -40,20 +40,22 @@
 }
 
 /** Starts controllers as groups appear; each idles while this does not lead. */
-export class MapDirector {
+export class MapManager {
   private readonly controllers = new Map<string, MapController>();
   private readonly clients: AgentClients;
-  private readonly rules: RulesInForce;
+  private readonly rules: CommittedRules;
 
-  constructor(private readonly parts: MapDirectorParts) {
-    this.clients = new AgentClients(parts.connect);
-    this.rules = new RulesInForce(parts.state.rules);
+  constructor(private readonly dependencies: MapManagerDependencies) {
+    this.clients = new AgentClients(dependencies.connect);
+    this.rules = new CommittedRules(dependencies.state.rules);
   }
 
   start(): Subscription {
-    const all = new Subscription();
-    all.add(interval(SCAN_MS).subscribe(() => this.scan(all)));
-    return all;
+    const subscriptions = new Subscription();
+    subscriptions.add(
+      interval(SCAN_INTERVAL_MS).subscribe(() => this.scan(subscriptions))
+    );
+    return subscriptions;
   }
 
   /** Takes a message of a rank that was validated at the edge. */
@@ -61,12 +63,12 @@
     this.controllers.get(message.group)?.receive(message);
   }
 
-  private scan(all: Subscription): void {
-    for (const {group, pool} of this.parts.members.listTargets()) {
+  private scan(subscriptions: Subscription): void {
+    for (const {group, pool} of this.dependencies.members.listTargets()) {
       if (group === undefined || this.controllers.has(group.id)) continue;
       const controller = this.create(group, pool);
       this.controllers.set(group.id, controller);
-      all.add(controller.start());
+      subscriptions.add(controller.start());
     }
   }
 
@@ -74,38 +76,38 @@
     {id, ranks, experts, slots}: GroupMember,
     pool: string
   ): MapController {
-    const {parts} = this;
-    const flat = new Array<number>(experts).fill(1);
+    const {dependencies} = this;
+    const uniformPopularity = new Array<number>(experts).fill(1);
     return new MapController(
       {
         group: id,
         ranks,
-        holder: parts.instanceId,
+        holder: dependencies.instanceId,
         initialMap: placeFromScratch(
           evenShape(ranks, experts, slots - experts),
-          flat
+          uniformPopularity
         ),
         marginSteps: MARGIN_STEPS,
         maxMarginSteps: MAX_MARGIN_STEPS,
         promiseTimeoutMs: PROMISE_TIMEOUT_MS,
-        resendMs: RESEND_MS,
-        proposeRetryMs: PROPOSE_RETRY_MS,
+        resendMs: RESEND_INTERVAL_MS,
+        proposeRetryMs: PROPOSE_RETRY_INTERVAL_MS,
         experts,
         rebalance: REBALANCE_DEFAULTS,
-        tickMs: TICK_MS,
+        tickMs: TICK_INTERVAL_MS,
       },
-      parts.log,
-      parts.state.maps,
+      dependencies.log,
+      dependencies.state.maps,
       {send: (rank, message) => this.send(id, rank, message)},
-      () => this.permit(pool),
-      parts.metrics,
-      parts.logger
+      () => this.rebalancePolicy(pool),
+      dependencies.metrics,
+      dependencies.logger
     );
   }
 
   private send(group: string, rank: number, message: ToRankMessage): void {
     this.deliver(group, rank, message).catch((err: unknown) => {
-      this.parts.logger.debug(
+      this.dependencies.logger.debug(
         {err: String(err), group, rank},
         'map message not delivered'
       );
@@ -122,15 +124,17 @@
     rank: number,
     message: ToRankMessage
   ): Promise<void> {
-    const target = this.parts.members
+    const target = this.dependencies.members
       .listTargets()
       .find(one => one.group?.id === group && one.group.rank === rank);
     if (target === undefined) throw new Error('no agent announces that rank');
-    await this.clients.of(target).call(METHODS.map, message, SEND_TIMEOUT_MS);
+    await this.clients
+      .clientFor(target)
+      .call(METHODS.map, message, SEND_TIMEOUT_MS);
   }
 
   /** Off unless a rule says on: moving experts is the operators' choice. */
-  private permit(pool: string): RebalancePermit {
+  private rebalancePolicy(pool: string): RebalancePolicy {
     const rule = this.rules.get()?.rebalance(pool);
     const minGain = (rule?.gainPercent ?? 0) / PERCENT;
     return {on: rule !== undefined, minGain};
--- a/src/control/maps/mapState.ts
+++ b/src/control/maps/mapState.ts
@@ -28,14 +28,18 @@
   readonly groups: readonly (readonly [string, GroupMaps])[];
 }
 
-const UNKNOWN_GROUP: GroupMaps = {fence: 0, holder: '', decidedVersion: 0};
+const INITIAL_GROUP_STATE: GroupMaps = {
+  fence: 0,
+  holder: '',
+  decidedVersion: 0,
+};
 
 /** Applies fences and decisions in log order. */
 export class MapState {
   private groups = new Map<string, GroupMaps>();
 
   group(name: string): GroupMaps {
-    return this.groups.get(name) ?? UNKNOWN_GROUP;
+    return this.groups.get(name) ?? INITIAL_GROUP_STATE;
   }
 
   groupNames(): readonly string[] {
@@ -60,10 +64,10 @@
     if (fence !== group.fence) return {kind: 'fenced'};
     if (version <= group.decidedVersion) {
       // A proposer whose answer was lost proposes the same again.
-      const same = this.outcome(command) === command.decision;
-      return {kind: same ? 'recorded' : 'fenced'};
+      const isSameDecision = this.outcome(command) === command.decision;
+      return {kind: isSameDecision ? 'recorded' : 'fenced'};
     }
-    this.groups.set(command.group, decided(group, command));
+    this.groups.set(command.group, withDecision(group, command));
     return {kind: 'recorded'};
   }
 
@@ -88,7 +92,10 @@
   }
 }
 
-function decided(group: GroupMaps, command: MapDecisionCommand): GroupMaps {
+function withDecision(
+  group: GroupMaps,
+  command: MapDecisionCommand
+): GroupMaps {
   const {version, switchStep} = command;
   if (command.decision === 'abort') return {...group, decidedVersion: version};
   const current = {version, switchStep, map: mapOf(command)};
--- a/src/control/maps/mapSwitch.ts
+++ b/src/control/maps/mapSwitch.ts
@@ -28,15 +28,15 @@
 /** Decides for one group; the caller carries out the actions in order. */
 export class MapSwitch {
   private phase: Phase = {kind: 'following'};
-  private switches = 0;
+  private switchCount = 0;
   private marginSteps: number;
-  private readonly joins = new WaitingJoins();
+  private readonly waitingJoins = new WaitingJoins();
   private readSeq = 0;
-  private readFrom = 0;
+  private minReadSeq = 0;
   private newestFence = 0;
   /** Whether the group is known to have a map that ranks can run with. */
   private hasMap = false;
-  private sentAtMs = -Infinity;
+  private lastSentAtMs = -Infinity;
 
   constructor(private readonly cfg: MapSwitchConfig) {
     this.marginSteps = cfg.marginSteps;
@@ -44,8 +44,8 @@
 
   /** Whether a new switch may be started; ranks that wait to join go first. */
   get idle(): boolean {
-    const free = this.phase.kind === 'idle' && this.joins.size === 0;
-    return free && this.hasMap;
+    const isFree = this.phase.kind === 'idle' && this.waitingJoins.size === 0;
+    return isFree && this.hasMap;
   }
 
   /** Fence held, once it is known to be the newest. */
@@ -56,7 +56,7 @@
   handle(event: SwitchEvent, nowMs: number): readonly SwitchAction[] {
     switch (event.kind) {
       case 'lead':
-        return this.phase.kind === 'following' ? this.takeFence(nowMs) : [];
+        return this.phase.kind === 'following' ? this.requestFence(nowMs) : [];
       case 'resign':
         return this.resign();
       case 'fence':
@@ -76,9 +76,9 @@
     }
   }
 
-  private takeFence(nowMs: number): readonly SwitchAction[] {
+  private requestFence(nowMs: number): readonly SwitchAction[] {
     this.phase = {kind: 'fencing'};
-    this.sentAtMs = nowMs;
+    this.lastSentAtMs = nowMs;
     return [this.fenceAction()];
   }
 
@@ -89,7 +89,7 @@
 
   private resign(): readonly SwitchAction[] {
     this.phase = {kind: 'following'};
-    this.joins.clear();
+    this.waitingJoins.clear();
     return [];
   }
 
@@ -98,8 +98,8 @@
     if (this.phase.kind !== 'fencing' || fence <= this.newestFence) return [];
     this.phase = {kind: 'idle', fence};
     this.newestFence = fence;
-    this.readFrom = this.readSeq + 1;
-    this.switches = 0;
+    this.minReadSeq = this.readSeq + 1;
+    this.switchCount = 0;
     this.hasMap = false;
     return [this.read()];
   }
@@ -115,12 +115,12 @@
   ): readonly SwitchAction[] {
     const {phase} = this;
     // A read begun before the last decision may not show it.
-    if (phase.kind !== 'idle' || seq < this.readFrom) return [];
+    if (phase.kind !== 'idle' || seq < this.minReadSeq) return [];
     // A newer controller may have switches under way that are not known here.
-    if (maps.fence !== phase.fence) return this.takeFence(nowMs);
+    if (maps.fence !== phase.fence) return this.requestFence(nowMs);
     if (maps.current === undefined) return this.decideFirstMap(phase.fence);
     this.hasMap = true;
-    return this.joins.answer(seq, this.cfg.group, maps);
+    return this.waitingJoins.answer(seq, this.cfg.group, maps);
   }
 
   /** No rank runs without a map, so that the first one needs no promise. */
@@ -147,8 +147,8 @@
     const deadlineMs = nowMs + this.cfg.promiseTimeoutMs;
     const attempt = {command, map, promised: new Set<number>(), deadlineMs};
     this.phase = {kind: 'preparing', fence, attempt};
-    this.sentAtMs = nowMs;
-    return this.prepares(attempt);
+    this.lastSentAtMs = nowMs;
+    return this.prepareActions(attempt);
   }
 
   private command(
@@ -157,7 +157,7 @@
     switchStep: number
   ): MapDecisionCommand {
     const {group} = this.cfg;
-    const version = versionOf(fence, ++this.switches);
+    const version = versionOf(fence, ++this.switchCount);
     const decision = 'commit';
     const {slots, shares} = map;
     return {
@@ -172,7 +172,7 @@
     };
   }
 
-  private prepares(attempt: Attempt): readonly SwitchAction[] {
+  private prepareActions(attempt: Attempt): readonly SwitchAction[] {
     const {group, fence, version, switchStep} = attempt.command;
     const {map} = attempt;
     const message = {
@@ -183,15 +183,15 @@
       switchStep,
       map,
     } as const;
-    return this.toRanks(message, rank => !attempt.promised.has(rank));
+    return this.sendActions(message, rank => !attempt.promised.has(rank));
   }
 
-  private toRanks(
+  private sendActions(
     message: ToRankMessage,
-    isMeant: (rank: number) => boolean = () => true
+    isRecipient: (rank: number) => boolean = () => true
   ): readonly SwitchAction[] {
     return Array.from({length: this.cfg.ranks}, (_, rank) => rank)
-      .filter(isMeant)
+      .filter(isRecipient)
       .map(rank => ({kind: 'send', rank, message}));
   }
 
@@ -238,7 +238,7 @@
       case 'busy':
         return [];
       case 'passed':
-        this.widenMargin();
+        this.doubleMargin();
         return this.decide(phase, 'passed');
       case 'load-failed':
       case 'fenced':
@@ -248,15 +248,15 @@
     }
   }
 
-  private widenMargin(): void {
-    const wider = 2 * this.marginSteps;
-    this.marginSteps = Math.min(wider, this.cfg.maxMarginSteps);
+  private doubleMargin(): void {
+    const doubled = 2 * this.marginSteps;
+    this.marginSteps = Math.min(doubled, this.cfg.maxMarginSteps);
   }
 
   private onJoin(req: JoinRequest): readonly SwitchAction[] {
     const {phase} = this;
     if (phase.kind === 'following') return [];
-    this.joins.add(req, this.readSeq + 1);
+    this.waitingJoins.add(req, this.readSeq + 1);
     // The rank has forgotten what it promised. What is pending must be decided
     // before it is told a map, or it would miss the switch.
     if (phase.kind === 'preparing') return this.decide(phase, 'joined');
@@ -284,9 +284,10 @@
     if (phase.kind !== 'deciding') return [];
     const {command, map, reason} = phase.attempt;
     if (version !== command.version) return [];
-    if (result === 'fenced') return [ended('fenced'), ...this.takeFence(nowMs)];
+    if (result === 'fenced')
+      return [abortedAction('fenced'), ...this.requestFence(nowMs)];
     this.phase = {kind: 'idle', fence: phase.fence};
-    this.readFrom = this.readSeq + 1;
+    this.minReadSeq = this.readSeq + 1;
     const {group, fence, decision} = command;
     const message = {
       kind: 'decision',
@@ -295,36 +296,36 @@
       version,
       decision,
     } as const;
-    const told = this.toRanks(message);
-    const outcome = reason ? ended(reason) : switched(map);
-    const unread = this.joins.size > 0 || !this.hasMap;
-    const read = unread ? [this.read()] : [];
-    return [...told, outcome, ...read];
+    const decisions = this.sendActions(message);
+    const outcome = reason ? abortedAction(reason) : switchedAction(map);
+    const needsRead = this.waitingJoins.size > 0 || !this.hasMap;
+    const read = needsRead ? [this.read()] : [];
+    return [...decisions, outcome, ...read];
   }
 
-  private retryMs(): number {
-    const proposed =
+  private retryIntervalMs(): number {
+    const awaitsProposal =
       this.phase.kind === 'fencing' || this.phase.kind === 'deciding';
-    return proposed ? this.cfg.proposeRetryMs : this.cfg.resendMs;
+    return awaitsProposal ? this.cfg.proposeRetryMs : this.cfg.resendMs;
   }
 
   private onTick(nowMs: number): readonly SwitchAction[] {
     const {phase} = this;
     if (phase.kind === 'preparing' && nowMs >= phase.attempt.deadlineMs) {
-      this.widenMargin();
+      this.doubleMargin();
       return this.decide(phase, 'timeout');
     }
-    if (nowMs - this.sentAtMs < this.retryMs()) return [];
-    this.sentAtMs = nowMs;
+    if (nowMs - this.lastSentAtMs < this.retryIntervalMs()) return [];
+    this.lastSentAtMs = nowMs;
     switch (phase.kind) {
       case 'following':
         return [];
       case 'fencing':
         return [this.fenceAction()];
       case 'idle':
-        return this.joins.size > 0 || !this.hasMap ? [this.read()] : [];
+        return this.waitingJoins.size > 0 || !this.hasMap ? [this.read()] : [];
       case 'preparing':
-        return this.prepares(phase.attempt);
+        return this.prepareActions(phase.attempt);
       // The same decision again, never another: the first may have counted.
       case 'deciding':
         return [{kind: 'propose', command: phase.attempt.command}];
@@ -334,10 +335,10 @@
   }
 }
 
-function ended(reason: AbortReason): SwitchAction {
+function abortedAction(reason: AbortReason): SwitchAction {
   return {kind: 'ended', result: {kind: 'aborted', reason}};
 }
 
-function switched(map: ExpertMap): SwitchAction {
+function switchedAction(map: ExpertMap): SwitchAction {
   return {kind: 'ended', result: {kind: 'switched', map}};
 }
--- a/src/control/maps/stepEstimate.ts
+++ b/src/control/maps/stepEstimate.ts
@@ -1,7 +1,7 @@
 /** Where a group's ranks probably are now, from reports that are seconds old. */
 
 /** The first guess of a rate is taken from reports at least this far apart. */
-const MIN_SPAN_MS = 100;
+const MIN_RATE_WINDOW_MS = 100;
 
 /** Times are `performance.now()` milliseconds. */
 export class StepEstimate {
@@ -10,10 +10,11 @@
   private stepsPerMs = 0;
 
   /** A rank showed this step; older ones are ignored. */
-  seen(step: number, nowMs: number): void {
+  record(step: number, nowMs: number): void {
     if (step <= this.step && this.atMs !== undefined) return;
-    const spanMs = this.atMs === undefined ? 0 : nowMs - this.atMs;
-    if (spanMs >= MIN_SPAN_MS) this.stepsPerMs = (step - this.step) / spanMs;
+    const elapsedMs = this.atMs === undefined ? 0 : nowMs - this.atMs;
+    if (elapsedMs >= MIN_RATE_WINDOW_MS)
+      this.stepsPerMs = (step - this.step) / elapsedMs;
     this.step = step;
     this.atMs = nowMs;
   }
--- a/src/control/maps/waitingJoins.ts
+++ b/src/control/maps/waitingJoins.ts
@@ -36,9 +36,11 @@
     if (current === undefined) return [];
     // A read begun before the rank asked may be from before a switch in which
     // that rank took part until it restarted.
-    const due = [...this.byRank.values()].filter(join => join.seq <= seq);
-    due.forEach(({req}) => this.byRank.delete(req.rank));
-    return due.map(({req: {rank, attempt}}): SwitchAction => ({
+    const answerable = [...this.byRank.values()].filter(
+      join => join.seq <= seq
+    );
+    answerable.forEach(({req}) => this.byRank.delete(req.rank));
+    return answerable.map(({req: {rank, attempt}}): SwitchAction => ({
       kind: 'send',
       rank,
       message: {
--- a/src/control/memberTable.ts
+++ b/src/control/memberTable.ts
@@ -9,22 +9,22 @@
   PollRequest,
   UnchangedAnnouncement,
 } from '../core/wire';
-import {mustTell} from './announcedChange';
-import {GroupPace} from './groupPace';
+import {shouldPublish} from './announcedChange';
+import {GroupSlowdowns} from './groupPace';
 
 /** Silence after which a target or process is no longer listed. */
 export const MEMBER_TTL_MS = 3_000;
 /** Least time between two looks for what fell silent. */
-const EXPIRY_PERIOD_MS = 100;
+const EXPIRY_CHECK_INTERVAL_MS = 100;
 /** How long a removed boot is remembered, against late announcements. */
 const TOMBSTONE_TTL_MS = 60_000;
 
-interface Heard {
+interface TargetRecord {
   readonly announcement: Announcement;
-  readonly heardAtMs: number;
+  readonly lastPollAtMs: number;
   /** As entries are told; every entry at this version holds exactly this. */
-  readonly told: Announcement;
-  readonly toldAtMs: number;
+  readonly published: Announcement;
+  readonly publishedAtMs: number;
   readonly version: number;
 }
 
@@ -36,13 +36,13 @@
 }
 
 /** A process as last heard of. */
-export interface HeardProcess {
+export interface ProcessRecord {
   readonly processId: string;
   readonly role: 'entry' | 'agent';
   readonly bootId: string;
   readonly availabilityZone: string;
   readonly heldRevision: number;
-  readonly heardAtMs: number;
+  readonly lastPollAtMs: number;
   readonly provenAgeMs?: number;
 }
 
@@ -63,13 +63,13 @@
 
 /** The targets and processes heard of; times are `performance.now()` ms. */
 export class MemberTable {
-  private readonly targets = new Map<string, Heard>();
+  private readonly targets = new Map<string, TargetRecord>();
   private readonly tombstones = new Map<string, Tombstone>();
-  private readonly processes = new Map<string, HeardProcess>();
+  private readonly processes = new Map<string, ProcessRecord>();
   private readonly pools = new Map<string, Pool>();
-  private readonly pace = new GroupPace();
+  private readonly groupSlowdowns = new GroupSlowdowns();
   private version = 0;
-  private expiredAtMs = -Infinity;
+  private lastExpiryAtMs = -Infinity;
 
   /** Returns whether it holds what the request called unchanged. */
   heard(request: PollRequest, nowMs: number): boolean {
@@ -88,7 +88,7 @@
       availabilityZone,
       heldRevision,
       provenAgeMs,
-      heardAtMs: nowMs,
+      lastPollAtMs: nowMs,
     });
     if (request.announcement !== undefined)
       this.announce(request.announcement, nowMs);
@@ -115,21 +115,21 @@
    * time it would cost the square of their number.
    */
   expire(nowMs: number): void {
-    if (nowMs - this.expiredAtMs < EXPIRY_PERIOD_MS) return;
-    this.expiredAtMs = nowMs;
-    for (const [id, heard] of this.targets) {
-      if (nowMs - heard.heardAtMs <= MEMBER_TTL_MS) continue;
+    if (nowMs - this.lastExpiryAtMs < EXPIRY_CHECK_INTERVAL_MS) return;
+    this.lastExpiryAtMs = nowMs;
+    for (const [id, record] of this.targets) {
+      if (nowMs - record.lastPollAtMs <= MEMBER_TTL_MS) continue;
       this.targets.delete(id);
-      const {agentBootAtMs: bootAtMs, seq} = heard.announcement;
+      const {agentBootAtMs: bootAtMs, seq} = record.announcement;
       this.tombstones.set(id, {
         bootAtMs,
         seq,
         atMs: nowMs,
         version: ++this.version,
       });
-      this.noteTold(id, heard.told, undefined);
+      this.onPublishedChange(id, record.published, undefined);
     }
-    for (const [id, {heardAtMs}] of this.processes) {
+    for (const [id, {lastPollAtMs: heardAtMs}] of this.processes) {
       if (nowMs - heardAtMs > MEMBER_TTL_MS) this.processes.delete(id);
     }
     for (const [id, {atMs}] of this.tombstones) {
@@ -144,8 +144,8 @@
       return {version, full: false, changed: [], removed: []};
     const from = since ?? -1;
     const changed = [...this.targets.values()]
-      .filter(heard => heard.version > from)
-      .map(heard => heard.told);
+      .filter(record => record.version > from)
+      .map(record => record.published);
     const removed = [...this.tombstones]
       .filter(
         ([id, tombstone]) => tombstone.version > from && !this.targets.has(id)
@@ -164,17 +164,17 @@
   }
 
   /** What entries are told of the targets of a pool. */
-  toldOfPool(pool: string): readonly Announcement[] {
+  listPublished(pool: string): readonly Announcement[] {
     return [...(this.pools.get(pool)?.ids ?? [])].flatMap(id => {
-      const told = this.targets.get(id)?.told;
+      const told = this.targets.get(id)?.published;
       return told === undefined ? [] : [told];
     });
   }
 
   /** What entries are told of a target now. */
-  toldOf(targetId: string): Announcement | undefined {
-    const heard = this.targets.get(targetId);
-    return heard && this.pace.withPace(heard.told);
+  findPublished(targetId: string): Announcement | undefined {
+    const record = this.targets.get(targetId);
+    return record && this.groupSlowdowns.withGroupSlowdown(record.published);
   }
 
   /** Whether what entries are told of a target changed after a version. */
@@ -183,7 +183,7 @@
   }
 
   /** The rules changed which targets may take work. */
-  usabilityChanged(): void {
+  markAllPoolsChanged(): void {
     this.version++;
     for (const pool of this.pools.values()) pool.version = this.version;
   }
@@ -194,49 +194,54 @@
   }
 
   listTargets(): readonly Announcement[] {
-    return [...this.targets.values()].map(heard => heard.announcement);
+    return [...this.targets.values()].map(record => record.announcement);
   }
 
-  listProcesses(): readonly HeardProcess[] {
+  listProcesses(): readonly ProcessRecord[] {
     return [...this.processes.values()];
   }
 
   private announce(announcement: Announcement, nowMs: number): void {
     const {targetId} = announcement;
-    const heard = this.targets.get(targetId);
-    const known = heard?.announcement;
+    const record = this.targets.get(targetId);
+    const known = record?.announcement;
     if (known !== undefined && !isNewer(announcement, known)) return;
     const tombstone = this.tombstones.get(targetId);
-    if (tombstone !== undefined && isBuried(announcement, tombstone)) return;
+    if (
+      tombstone !== undefined &&
+      isOlderThanTombstone(announcement, tombstone)
+    )
+      return;
     this.tombstones.delete(targetId);
     const merged =
       known === undefined ? announcement : keepLeaving(known, announcement);
-    const isOld =
-      heard !== undefined &&
-      !mustTell(heard.told, merged, nowMs - heard.toldAtMs);
+    const keepsPublished =
+      record !== undefined &&
+      !shouldPublish(record.published, merged, nowMs - record.publishedAtMs);
     this.targets.set(targetId, {
       announcement: merged,
-      heardAtMs: nowMs,
-      told: isOld ? heard.told : merged,
-      toldAtMs: isOld ? heard.toldAtMs : nowMs,
-      version: isOld ? heard.version : ++this.version,
+      lastPollAtMs: nowMs,
+      published: keepsPublished ? record.published : merged,
+      publishedAtMs: keepsPublished ? record.publishedAtMs : nowMs,
+      version: keepsPublished ? record.version : ++this.version,
     });
-    if (!isOld) this.noteTold(targetId, heard?.told, merged);
+    if (!keepsPublished)
+      this.onPublishedChange(targetId, record?.published, merged);
   }
 
   /** What entries are told of a target has changed. */
-  private noteTold(
+  private onPublishedChange(
     targetId: string,
     before: Announcement | undefined,
     after: Announcement | undefined
   ): void {
-    if (usabilityOf(before) !== usabilityOf(after)) {
-      this.poolOf(before?.pool)?.ids.delete(targetId);
-      this.poolOf(after?.pool)?.ids.add(targetId);
+    if (subsetCriteria(before) !== subsetCriteria(after)) {
+      this.touchPool(before?.pool)?.ids.delete(targetId);
+      this.touchPool(after?.pool)?.ids.add(targetId);
     }
     const groupIds = new Set([before?.group?.id, after?.group?.id]);
     for (const groupId of groupIds) {
-      for (const id of this.pace.note(targetId, groupId, after)) {
+      for (const id of this.groupSlowdowns.update(targetId, groupId, after)) {
         const rank = this.targets.get(id);
         if (rank !== undefined)
           this.targets.set(id, {...rank, version: this.version});
@@ -245,7 +250,7 @@
   }
 
   /** The pool, marked as changed. */
-  private poolOf(pool: string | undefined): Pool | undefined {
+  private touchPool(pool: string | undefined): Pool | undefined {
     if (pool === undefined) return undefined;
     const known = this.pools.get(pool) ?? {ids: new Set<string>(), version: 0};
     known.version = this.version;
@@ -255,13 +260,18 @@
 }
 
 /** What decides which entries follow a target. */
-function usabilityOf(told: Announcement | undefined): string | undefined {
-  if (told === undefined) return undefined;
-  const {pool, availabilityZone, state, limit} = told;
+function subsetCriteria(
+  published: Announcement | undefined
+): string | undefined {
+  if (published === undefined) return undefined;
+  const {pool, availabilityZone, state, limit} = published;
   return JSON.stringify([pool, availabilityZone, state, limit > 0]);
 }
 
-function isBuried(candidate: Announcement, tombstone: Tombstone): boolean {
+function isOlderThanTombstone(
+  candidate: Announcement,
+  tombstone: Tombstone
+): boolean {
   if (candidate.agentBootAtMs !== tombstone.bootAtMs) {
     return candidate.agentBootAtMs < tombstone.bootAtMs;
   }
--- a/src/control/methods/checkOrderMethod.ts
+++ b/src/control/methods/checkOrderMethod.ts
@@ -4,7 +4,7 @@
 import {orderCheck} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
-import {readHere} from './leaderOnly';
+import {awaitReadBarrier} from './leaderOnly';
 
 /** The `checkOrder` method: linearizable, or a late order could pass. */
 export function checkOrderMethod({
@@ -17,9 +17,9 @@
   return {
     params: orderCheck,
     handle: async ({targetId}) => {
-      await readHere(log);
+      await awaitReadBarrier(log);
       const {fleet} = state;
-      return {fence: fleet.fence, openId: fleet.openAt(targetId)?.id};
+      return {fence: fleet.fence, openId: fleet.openOrderOf(targetId)?.id};
     },
   };
 }
--- a/src/control/methods/claimMethods.ts
+++ b/src/control/methods/claimMethods.ts
@@ -12,7 +12,7 @@
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
 import type {SettleResult} from '../state/command';
-import {proposeHere, readHere} from './leaderOnly';
+import {proposeCommand, awaitReadBarrier} from './leaderOnly';
 
 /** The `claim` method; a resend under the same request id is the same claim. */
 export function claimMethod({
@@ -22,7 +22,7 @@
     params: claimRequest,
     handle: async request => {
       const command = {kind: 'claim', ...request, atMs: Date.now()} as const;
-      return (await proposeHere(log, command)).result;
+      return (await proposeCommand(log, command)).result;
     },
   };
 }
@@ -35,7 +35,7 @@
   return {
     params: lookupRequest,
     handle: async ({customer, key, digest}) => {
-      await readHere(log);
+      await awaitReadBarrier(log);
       return state.claims.lookup(customer, key, digest);
     },
   };
@@ -48,6 +48,6 @@
   return {
     params: settleRequest,
     handle: async request =>
-      (await proposeHere(log, {kind: 'settle', ...request})).result,
+      (await proposeCommand(log, {kind: 'settle', ...request})).result,
   };
 }
--- a/src/control/methods/leaderOnly.ts
+++ b/src/control/methods/leaderOnly.ts
@@ -12,7 +12,7 @@
 >;
 
 /** Proposes a command; rejects with RpcFailure `notLeader` elsewhere. */
-export async function proposeHere<C extends Command>(
+export async function proposeCommand<C extends Command>(
   log: ReplicatedLog,
   command: C
 ): Promise<ResultOf<C['kind']>> {
@@ -24,7 +24,7 @@
 }
 
 /** Waits until all that was committed before the call is applied here. */
-export async function readHere(log: ReplicatedLog): Promise<void> {
+export async function awaitReadBarrier(log: ReplicatedLog): Promise<void> {
   try {
     await log.readBarrier();
   } catch (err) {
--- a/src/control/methods/pollMethod.ts
+++ b/src/control/methods/pollMethod.ts
@@ -28,7 +28,7 @@
     lastRevision: lastRevision(context),
     ...newerRules(context, request),
     announceAgain: request.role === 'agent' ? !known : undefined,
-    usageAgain: takeUsage(context, request, nowMs),
+    usageAgain: recordUsage(context, request, nowMs),
     members:
       request.role === 'entry'
         ? memberChanges(context, request, nowMs)
@@ -36,7 +36,7 @@
   };
 }
 
-function takeUsage(
+function recordUsage(
   {usage}: ControlContext,
   {bootId, usage: rows, usagePart = false}: PollRequest,
   nowMs: number
@@ -62,12 +62,12 @@
  * may be accepted already, with this copy as one of the majority.
  */
 function lastRevision({log, state}: ControlContext): number {
-  let last = state.rules.revision;
+  let highest = state.rules.revision;
   for (const command of log.uncommitted()) {
-    if (command.kind === 'submit' && command.revision > last)
-      last = command.revision;
+    if (command.kind === 'submit' && command.revision > highest)
+      highest = command.revision;
   }
-  return last;
+  return highest;
 }
 
 function memberChanges(
--- a/src/control/methods/statusMethods.ts
+++ b/src/control/methods/statusMethods.ts
@@ -4,16 +4,16 @@
 import {noParams} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
-import {readHere} from './leaderOnly';
+import {awaitReadBarrier} from './leaderOnly';
 
 /** The `status` method: this instance's own view, whether it leads or not. */
 export function statusMethod(
   context: ControlContext
 ): RpcMethod<object | undefined, StatusAnswer> {
-  return {params: noParams, handle: () => status(context)};
+  return {params: noParams, handle: () => buildStatus(context)};
 }
 
-function status({
+function buildStatus({
   instanceId,
   log,
   state,
@@ -22,10 +22,12 @@
   const nowMs = performance.now();
   members.expire(nowMs);
   const {role, term, leaderId, voter, commitIndex} = log.status();
-  const processes = members.listProcesses().map(({heardAtMs, ...process}) => ({
-    ...process,
-    pollAgeMs: Math.round(nowMs - heardAtMs),
-  }));
+  const processes = members
+    .listProcesses()
+    .map(({lastPollAtMs: heardAtMs, ...process}) => ({
+      ...process,
+      pollAgeMs: Math.round(nowMs - heardAtMs),
+    }));
   return {
     instance: {instanceId, role, term, leaderId, voter, commitIndex},
     revision: state.rules.revision,
@@ -43,7 +45,7 @@
   return {
     params: noParams,
     handle: async () => {
-      await readHere(log);
+      await awaitReadBarrier(log);
       return {customers: state.usage.totals()};
     },
   };
--- a/src/control/methods/submitMethod.ts
+++ b/src/control/methods/submitMethod.ts
@@ -6,7 +6,7 @@
 import type {RpcMethod} from '../../rpc/peerServer';
 import {parseRules} from '../../rules/parseRules';
 import type {ControlContext} from '../controlContext';
-import {proposeHere} from './leaderOnly';
+import {proposeCommand} from './leaderOnly';
 
 /** The `submit` method; repeating it is safe. */
 export function submitMethod(
@@ -25,7 +25,7 @@
   const digest = createHash('sha256').update(text).digest('hex');
   const submittedBy =
     rules.find(rule => rule.kind === 'revision')?.askedBy ?? 'unknown';
-  const {result} = await proposeHere(context.log, {
+  const {result} = await proposeCommand(context.log, {
     kind: 'submit',
     revision,
     digest,
--- a/src/control/recentRules.ts
+++ b/src/control/recentRules.ts
@@ -7,7 +7,7 @@
 import {RevisedText, diffRules} from '../rules/ruleDiff';
 
 /** A process that is further behind gets the whole file. */
-const KEPT_FILES = 64;
+const MAX_KEPT_FILES = 64;
 
 /** The newest files that this instance has had in force, in memory only. */
 export class RecentRules {
@@ -23,7 +23,7 @@
     this.texts.set(file.revision, file.text);
     this.diffs.clear();
     for (const revision of this.texts.keys()) {
-      if (this.texts.size <= KEPT_FILES) break;
+      if (this.texts.size <= MAX_KEPT_FILES) break;
       this.texts.delete(revision);
     }
   }
--- a/src/control/rulesInForce.ts
+++ b/src/control/rulesInForce.ts
@@ -5,7 +5,7 @@
 import type {RulesState} from './state/rulesState';
 
 /** Reads the rules of one control instance. */
-export class RulesInForce {
+export class CommittedRules {
   private index: RuleIndex | undefined;
 
   constructor(private readonly state: Pick<RulesState, 'revision' | 'text'>) {}
--- a/src/control/state/claimState.ts
+++ b/src/control/state/claimState.ts
@@ -20,7 +20,7 @@
 /** A key stamped further ahead than this is treated as one without a time. */
 const MAX_CLOCK_SKEW_MS = 5 * 60 * 1000;
 /** Old records looked at with each claim, so that pruning never stalls. */
-const PRUNE_PER_CLAIM = 8;
+const MAX_CHECKED_PER_CLAIM = 8;
 
 type ClaimStatus =
   | {
@@ -60,11 +60,11 @@
 
   claim(command: ClaimCommand): ClaimResult {
     this.clockMs = Math.max(this.clockMs, command.atMs);
-    const keys = this.keysOf(command.customer);
+    const keys = this.keysOfCustomer(command.customer);
     this.prune(keys);
     const record = keys.get(command.key);
-    if (record !== undefined) return this.claimAgain(keys, record, command);
-    if (this.isPast(command.key)) return {kind: 'expired'};
+    if (record !== undefined) return this.claimKnownKey(keys, record, command);
+    if (this.hasExpiredTime(command.key)) return {kind: 'expired'};
     if (keys.size >= MAX_KEYS_PER_CUSTOMER) return {kind: 'full'};
     return this.grant(keys, command, 1);
   }
@@ -73,7 +73,7 @@
   lookup(customer: string, key: string, digest: string): LookupResult {
     const record = this.customers.get(customer)?.get(key);
     if (record === undefined)
-      return this.isPast(key) ? {kind: 'expired'} : {kind: 'none'};
+      return this.hasExpiredTime(key) ? {kind: 'expired'} : {kind: 'none'};
     if (record.digest !== digest) return {kind: 'mismatch'};
     const {status, attempt} = record;
     switch (status.kind) {
@@ -95,7 +95,7 @@
   }
 
   settle(command: SettleCommand): SettleResult {
-    const keys = this.keysOf(command.customer);
+    const keys = this.keysOfCustomer(command.customer);
     const record = keys.get(command.key);
     if (record === undefined || record.attempt !== command.attempt)
       return {kind: 'ignored'};
@@ -119,7 +119,7 @@
     );
   }
 
-  private claimAgain(
+  private claimKnownKey(
     keys: Map<string, ClaimRecord>,
     {status, attempt}: ClaimRecord,
     command: ClaimCommand
@@ -128,8 +128,10 @@
     const found = this.lookup(customer, key, digest);
     if (found.kind === 'none') return this.grant(keys, command, attempt + 1);
     // The proposer's answer was lost and it asks again: still its claim.
-    const own = status.kind === 'pending' && status.requestId === requestId;
-    if (found.kind === 'pending' && own) return {kind: 'granted', attempt};
+    const isOwnClaim =
+      status.kind === 'pending' && status.requestId === requestId;
+    if (found.kind === 'pending' && isOwnClaim)
+      return {kind: 'granted', attempt};
     return found;
   }
 
@@ -152,7 +154,7 @@
     return {kind: 'granted', attempt};
   }
 
-  private keysOf(customer: string): Map<string, ClaimRecord> {
+  private keysOfCustomer(customer: string): Map<string, ClaimRecord> {
     const known = this.customers.get(customer);
     if (known !== undefined) return known;
     const keys = new Map<string, ClaimRecord>();
@@ -166,21 +168,24 @@
    * kept without its answer, or it would run again.
    */
   private prune(keys: Map<string, ClaimRecord>): void {
-    let looked = 0;
+    let checked = 0;
     for (const [key, record] of keys) {
-      if (looked++ >= PRUNE_PER_CLAIM) return;
+      if (checked++ >= MAX_CHECKED_PER_CLAIM) return;
       if (this.clockMs - record.atMs <= KEY_RETENTION_MS) return;
       keys.delete(key);
-      if (this.isPast(key)) continue;
+      if (this.hasExpiredTime(key)) continue;
       keys.set(key, {...record, atMs: this.clockMs, status: {kind: 'spent'}});
     }
   }
 
-  private isPast(key: string): boolean {
-    const stampMs = keyTimeMs(key);
-    if (stampMs === undefined || stampMs > this.clockMs + MAX_CLOCK_SKEW_MS)
+  private hasExpiredTime(key: string): boolean {
+    const keyCreatedAtMs = keyTimeMs(key);
+    if (
+      keyCreatedAtMs === undefined ||
+      keyCreatedAtMs > this.clockMs + MAX_CLOCK_SKEW_MS
+    )
       return false;
-    return this.clockMs - stampMs > KEY_RETENTION_MS;
+    return this.clockMs - keyCreatedAtMs > KEY_RETENTION_MS;
   }
 }
 
--- a/src/control/state/rulesState.ts
+++ b/src/control/state/rulesState.ts
@@ -13,7 +13,7 @@
 }
 
 /** Accepted submissions that can still be told apart on a resend. */
-const HISTORY_LIMIT = 20_000;
+const MAX_HISTORY_LENGTH = 20_000;
 
 /** The replicated state of the rules, as stored in snapshots. */
 export interface RulesSnapshot {
@@ -30,7 +30,7 @@
 
   apply(command: SubmitCommand): SubmitResult {
     const {revision} = command;
-    if (this.mayFollow(revision)) return this.accept(command);
+    if (this.isNextRevision(revision)) return this.accept(command);
     const current = this.revision;
     if (revision > current) return {kind: 'gap', revision, current};
     const accepted = this.history.get(revision);
@@ -66,7 +66,7 @@
    * processes still hold the last revision and take none below it: numbered
    * from 1 again, the operators' files would be accepted and never in force.
    */
-  private mayFollow(revision: number): boolean {
+  private isNextRevision(revision: number): boolean {
     return this.revision === 0 || revision === this.revision + 1;
   }
 
@@ -75,7 +75,7 @@
     this.revision = revision;
     this.text = command.text;
     this.history.set(revision, {digest, submittedBy});
-    this.history.delete(revision - HISTORY_LIMIT);
+    this.history.delete(revision - MAX_HISTORY_LENGTH);
     return {kind: 'accepted', revision, resent: false};
   }
 }
--- a/src/control/usageTable.ts
+++ b/src/control/usageTable.ts
@@ -3,18 +3,18 @@
 import type {CustomerUsage} from '../core/wire';
 
 /** Silence after which a boot whose use is logged is forgotten. */
-const KEPT_MS = 60_000;
+const LOGGED_RETENTION_MS = 60_000;
 
 type Rows = ReadonlyMap<string, CustomerUsage>;
 
 /** One entry boot. */
-interface BootUse {
+interface BootUsage {
   readonly rows: Rows;
-  readonly heardAtMs: number;
+  readonly lastReportAtMs: number;
 }
 
 /** Totals that are in the log. */
-export interface LoggedUse {
+export interface LoggedUsage {
   /** Whether the log holds at least these totals of a boot. */
   covers(entryBootId: string, totals: readonly CustomerUsage[]): boolean;
 }
@@ -27,9 +27,9 @@
 
 /** Totals by entry boot. */
 export class UsageTable {
-  private readonly boots = new Map<string, BootUse>();
+  private readonly boots = new Map<string, BootUsage>();
 
-  constructor(private readonly logged: LoggedUse) {}
+  constructor(private readonly logged: LoggedUsage) {}
 
   /**
    * Returns whether all rows of the boot are held. A part of the rows of a boot
@@ -46,26 +46,27 @@
     if (isPart && known === undefined) return false;
     const merged = new Map(known?.rows);
     for (const row of rows)
-      merged.set(row.customer, larger(merged.get(row.customer), row));
-    this.boots.set(entryBootId, {rows: merged, heardAtMs: nowMs});
+      merged.set(row.customer, maxTotals(merged.get(row.customer), row));
+    this.boots.set(entryBootId, {rows: merged, lastReportAtMs: nowMs});
     return true;
   }
 
   /** What the log lacks; a leader puts it in. Forgets what nobody needs. */
-  toLog(nowMs: number): readonly UsageToLog[] {
-    const lacking: UsageToLog[] = [];
-    for (const [entryBootId, {rows, heardAtMs}] of this.boots) {
+  listUnlogged(nowMs: number): readonly UsageToLog[] {
+    const unlogged: UsageToLog[] = [];
+    for (const [entryBootId, {rows, lastReportAtMs: heardAtMs}] of this.boots) {
       const totals = [...rows.values()];
       if (!this.logged.covers(entryBootId, totals))
-        lacking.push({entryBootId, totals});
-      else if (nowMs - heardAtMs > KEPT_MS) this.boots.delete(entryBootId);
+        unlogged.push({entryBootId, totals});
+      else if (nowMs - heardAtMs > LOGGED_RETENTION_MS)
+        this.boots.delete(entryBootId);
     }
-    return lacking;
+    return unlogged;
   }
 }
 
 /** Totals only grow: of two reports that came in reverse the larger holds. */
-function larger(
+function maxTotals(
   known: CustomerUsage | undefined,
   row: CustomerUsage
 ): CustomerUsage {
--- a/src/control/zonesOut.ts
+++ b/src/control/zonesOut.ts
@@ -2,16 +2,16 @@
 
 import {parseRules} from '../rules/parseRules';
 import type {RulesState} from './state/rulesState';
-import type {ZonesInForce} from './entryViews';
+import type {ZoneStatus} from './entryViews';
 
 /** Follows the rules that are committed here. */
-export class ZonesOut {
-  private zones: ZonesInForce = {revision: 0, isZoneOut: () => false};
+export class ZoneStatusCache {
+  private zones: ZoneStatus = {revision: 0, isZoneOut: () => false};
 
   constructor(private readonly rules: Pick<RulesState, 'revision' | 'text'>) {}
 
   /** Parses the file anew only when it has changed. */
-  current(): ZonesInForce {
+  current(): ZoneStatus {
     const {revision, text} = this.rules;
     if (revision === this.zones.revision) return this.zones;
     const parsed = parseRules(text);
--- a/tests/capacityUsage.spec.ts
+++ b/tests/capacityUsage.spec.ts
@@ -68,7 +68,7 @@
   }
 
   logUse(): void {
-    for (const report of this.tables[this.leader]!.toLog(this.nowMs))
+    for (const report of this.tables[this.leader]!.listUnlogged(this.nowMs))
       this.log.apply({kind: 'usage', ...report});
   }
 
@@ -153,12 +153,12 @@
     const log = new UsageState();
     const table = new UsageTable(log);
     table.report('boot-1', [row], false, 0);
-    const [report] = table.toLog(SILENCE_MS);
+    const [report] = table.listUnlogged(SILENCE_MS);
     expect(report).toEqual({entryBootId: 'boot-1', totals: [row]});
     // The proposal failed: nothing is in the log yet.
-    expect(table.toLog(SILENCE_MS)).toEqual([report]);
+    expect(table.listUnlogged(SILENCE_MS)).toEqual([report]);
     log.apply({kind: 'usage', ...report!});
-    expect(table.toLog(SILENCE_MS)).toEqual([]);
+    expect(table.listUnlogged(SILENCE_MS)).toEqual([]);
     expect(table.report('boot-1', [row], true, SILENCE_MS)).toBe(false);
   });
 
@@ -167,6 +167,6 @@
     const table = new UsageTable(log);
     table.report('boot-1', [row], false, 0);
     table.report('boot-1', [{...row, requests: 1}], false, 1);
-    expect(table.toLog(1)).toMatchObject([{totals: [row]}]);
+    expect(table.listUnlogged(1)).toMatchObject([{totals: [row]}]);
   });
 });
--- a/tests/entryViews.spec.ts
+++ b/tests/entryViews.spec.ts
@@ -1,4 +1,4 @@
-import {EntryViews, ZonesInForce} from '../src/control/entryViews';
+import {EntryViews, ZoneStatus} from '../src/control/entryViews';
 import {MemberTable} from '../src/control/memberTable';
 import {PeerError} from '../src/core/errors';
 import type {Announcement, PollAnswer, PollRequest} from '../src/core/wire';
@@ -9,7 +9,7 @@
 
 const SIZE = 4;
 const TARGETS = 40;
-const ALL_IN: ZonesInForce = {revision: 1, isZoneOut: () => false};
+const ALL_IN: ZoneStatus = {revision: 1, isZoneOut: () => false};
 
 function poll(change: Partial<PollRequest>): PollRequest {
   return {
--- a/tests/fleetMachine.spec.ts
+++ b/tests/fleetMachine.spec.ts
@@ -106,7 +106,7 @@
     expect(state.open()).toMatchObject([{targetId: 't1'}]);
     first.answer({kind: 'changing'}).answer(DONE);
     expect(state.open()).toEqual([]);
-    expect(state.changedTo('t1')).toEqual({model: 'llama', version: 'v2'});
+    expect(state.lastModelOf('t1')).toEqual({model: 'llama', version: 'v2'});
     expect(first.machine.idle).toBe(true);
   });
 
