--- a/src/control/agentClients.ts
+++ b/src/control/agentClients.ts
@@ -1,9 +1,9 @@
-/** One client for each agent, at the address that it announced last. */
+/** RPC clients to agents, each at the address that its agent announced last. */
 
 import type {Announcement} from '../core/wire';
 import type {PeerClient, PeerClientFactory} from '../rpc/peerClient';
 
-/** Clients by target. */
+/** Keeps one client per target and replaces it when the address changes. */
 export class AgentClients {
   private readonly clients = new Map<string, PeerClient>();
 
--- a/src/control/announcedChange.ts
+++ b/src/control/announcedChange.ts
@@ -1,33 +1,39 @@
 /**
- * When entries have to hear of a new announcement. Pure. Agents announce
- * several times a second; passed on as they come, the announcements of N
- * targets would cost every entry bytes in proportion to N, with nothing new.
+ * Decides when a new announcement of a target is published to entries. Pure.
+ * Agents announce several times a second. If every announcement were passed on,
+ * the traffic to each entry would grow with the number of targets even when
+ * nothing relevant changes.
  */
 
 import type {Announcement} from '../core/wire';
 
-/** A change of load that could turn a choice waits no longer than this. */
+/**
+ * Minimum time between two published announcements of a target when its load
+ * changed enough to affect which target an entry chooses.
+ */
 const LARGE_CHANGE_INTERVAL_MS = 1_000;
-/** Any other change of load waits no longer than this. */
+/** Minimum time between two published announcements for a smaller change. */
 export const SMALL_CHANGE_INTERVAL_MS = 5_000;
-/** A large change, in parts of what the target may run at once. */
+/** A change above this part of the concurrency limit is large. */
 const LARGE_CHANGE_RATIO = 0.25;
-/** Less than this changes no choice that matters, and is not told at all. */
+/** A smaller part of the limit does not affect choices and is not published. */
 const SMALL_CHANGE_RATIO = 1 / 16;
 /**
- * About a short answer. The choice reads requests, not tokens, so these are
- * mostly told beside other changes.
+ * Smallest published change of the tokens in work, about one short completion.
+ * Targets are chosen by requests rather than tokens, so a change of tokens is
+ * mostly published together with other changes.
  */
 const MIN_TOKEN_CHANGE = 256;
 
-/** Whether `next` must be passed on, `sinceMs` after `told` was. */
+/** Whether to publish `next`, `sinceMs` after `published` was published. */
 export function shouldPublish(
   published: Announcement,
   next: Announcement,
   sinceMs: number
 ): boolean {
   if (nonLoadFields(published) !== nonLoadFields(next)) return true;
-  // At 0 a target takes nothing: either way, entries must know at once.
+  // With a limit of 0 a target accepts no work. Entries need to know at once
+  // when that starts or ends.
   if (published.limit > 0 !== next.limit > 0) return true;
   if (
     loadChange(published, next) >
@@ -37,12 +43,12 @@
   return sinceMs >= SMALL_CHANGE_INTERVAL_MS && isNoticeable(published, next);
 }
 
-/** All but the load, the sequence number and the age of the load report. */
+/** All fields but the load, the sequence number and the age of the load. */
 function nonLoadFields(announcement: Announcement): string {
   const {agentBootId, host, port, pool, availabilityZone} = announcement;
   const {state, temperature, model, modelVersion, group} = announcement;
   const location = [agentBootId, host, port, pool, availabilityZone];
-  // Entries tell a warm target from any other, and no more.
+  // Entries only distinguish warm targets from all others.
   const status = [state, temperature === 'warm', model, modelVersion];
   return JSON.stringify([location, status, group?.id, group?.rank]);
 }
@@ -58,7 +64,7 @@
   );
 }
 
-/** By how many requests the work or the limit moved. */
+/** The larger of the changes of work and of limit, in requests. */
 function loadChange(published: Announcement, next: Announcement): number {
   const work = ({outstanding, queued}: Announcement) => outstanding + queued;
   const workChange = Math.abs(work(next) - work(published));
--- a/src/control/controlContext.ts
+++ b/src/control/controlContext.ts
@@ -1,4 +1,4 @@
-/** What the methods of a control instance work with. */
+/** Dependencies of the RPC methods of a control instance. */
 
 import type {Logger} from '../core/logger';
 import type {EntryViews} from './entryViews';
@@ -9,7 +9,7 @@
 import type {UsageTable} from './usageTable';
 import type {ZoneStatusCache} from './zonesOut';
 
-/** One instance's parts. */
+/** The components of one control instance. */
 export interface ControlContext {
   readonly instanceId: string;
   readonly bootId: string;
--- a/src/control/controlProcess.ts
+++ b/src/control/controlProcess.ts
@@ -39,7 +39,7 @@
 const PEER_CALL_TIMEOUT_MS = 1_000;
 const USAGE_LOG_INTERVAL_MS = 5_000;
 
-/** Settings that the instance runs by. */
+/** Settings of a control instance. */
 export interface ControlProcessOptions {
   readonly id: string;
   readonly host: string;
@@ -52,7 +52,7 @@
   readonly dataDir: string;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called when the disk can no longer be trusted; the process must end. */
+  /** Called when the disk can no longer be trusted; the process must exit. */
   readonly onFatal: (err: unknown) => void;
 }
 
@@ -184,7 +184,7 @@
   });
 }
 
-/** The leader makes the counters that it has heard of durable. */
+/** On the leader, writes usage totals that the log lacks to the log. */
 async function proposeUsage({
   log,
   usage,
@@ -196,7 +196,10 @@
     try {
       await log.propose({kind: 'usage', ...report});
     } catch (err) {
-      logger.warn({err: String(err)}, 'use not logged; it will be tried again');
+      logger.warn(
+        {err: String(err)},
+        'could not write usage to the log; it will be tried again'
+      );
     }
   }
 }
--- a/src/control/entryViews.ts
+++ b/src/control/entryViews.ts
@@ -1,7 +1,8 @@
 /**
- * What each entry is told of the targets: a bounded subset of each pool. Soft
- * state, by entry; one that holds something else than is noted here, as after
- * a lost answer, is told its subset whole.
+ * Selects the targets that each entry follows, a bounded subset of each pool,
+ * and computes the changes to send with its next poll. The state is kept in
+ * memory only. An entry that holds another version than recorded here, for
+ * example after a lost reply, receives its subset whole.
  */
 
 import {updateOf} from '../core/announcements';
@@ -25,11 +26,11 @@
   readonly ids: readonly string[];
 }
 
-/** One entry, as last answered. */
+/** What one entry received with the last reply. */
 interface EntryView {
   readonly bootId: string;
   readonly version: number;
-  /** Its subset, as it was told. */
+  /** Announcements of its targets as last sent, by target. */
   readonly sent: ReadonlyMap<string, Announcement>;
   readonly pools: ReadonlyMap<string, PoolSubset>;
   readonly atMs: number;
@@ -40,13 +41,13 @@
   readonly candidates: readonly SubsetCandidate[];
 }
 
-/** The zones that the rules in force here take out, with their revision. */
+/** The zones that the rules applied here take out of service. */
 export interface ZoneStatus {
   readonly revision: number;
   isZoneOut(availabilityZone: string): boolean;
 }
 
-/** The views of all entries that ask this instance. */
+/** The state of all entries that poll this instance. */
 export class EntryViews {
   private readonly views = new Map<string, EntryView>();
   private readonly pools = new Map<string, PoolCandidates>();
@@ -55,7 +56,10 @@
 
   constructor(private readonly members: MemberTable) {}
 
-  /** Changes since what the entry holds; `since` as in `changesSince`. */
+  /**
+   * Changes for the entry since the version that it holds; everything when
+   * `since` is undefined or is not the version that was last sent to it.
+   */
   changesFor(
     {processId, bootId, subset}: PollRequest,
     since: number | undefined,
@@ -87,7 +91,7 @@
     return {version, ...diffMembers(held.sent, next)};
   }
 
-  /** What did not change keeps its identity. */
+  /** Keeps the same object for each target whose announcement is unchanged. */
   private collectAnnouncements(
     pools: EntryView['pools'],
     held: EntryView | undefined
@@ -107,7 +111,7 @@
     return announcements;
   }
 
-  /** A zone that goes out or comes back changes every subset. */
+  /** A zone that goes out of service or returns can change every subset. */
   private applyZones({revision}: ZoneStatus): void {
     if (revision === this.revision) return;
     this.revision = revision;
@@ -128,7 +132,8 @@
         continue;
       }
       const candidates = this.candidatesOf(pool, version, zones);
-      // By pool, or all entries that are alike in one would be in all.
+      // The seed includes the pool. Otherwise entries that get the same subset
+      // in one pool would get the same subset in all pools.
       const seed = entrySeed(`${entryId}/${pool}`);
       const chosen = chooseSubset(seed, candidates, size);
       const ids = chosen.map(({targetId}) => targetId);
@@ -167,7 +172,7 @@
   }
 }
 
-/** The way from what an entry holds to its subset now. */
+/** The difference between the announcements that an entry holds and `next`. */
 function diffMembers(
   held: EntryView['sent'],
   next: EntryView['sent']
--- a/src/control/groupPace.ts
+++ b/src/control/groupPace.ts
@@ -1,7 +1,7 @@
 /**
- * The pace of each group of ranks, as entries are told. All ranks of a group
- * step together. An entry that follows some of them only would send work to a
- * group that a rank unknown to it holds up.
+ * The slowdown of each group of ranks, which is that of its slowest rank since
+ * all ranks run each pass together. An entry that follows only some ranks would
+ * otherwise send work to a group that is slowed by a rank unknown to it.
  */
 
 import type {Announcement} from '../core/wire';
@@ -12,8 +12,9 @@
   private readonly slowdowns = new Map<string, number>();
 
   /**
-   * Notes what is told of a target now, or that it is gone. Returns the other
-   * ranks of its group when the pace of the group has changed.
+   * Records the published announcement of a target, or undefined when it was
+   * removed. Returns the other targets of the group when the slowdown of the
+   * group has changed.
    */
   update(
     targetId: string,
@@ -37,7 +38,7 @@
     return [...ranks.keys()].filter(id => id !== targetId);
   }
 
-  /** What is told of a target, at the pace of its group. */
+  /** The announcement with the slowdown of its group, where that is larger. */
   withGroupSlowdown(announcement: Announcement): Announcement {
     const slowdown =
       announcement.group && this.slowdowns.get(announcement.group.id);
--- a/src/control/memberTable.ts
+++ b/src/control/memberTable.ts
@@ -1,6 +1,7 @@
 /**
- * Which targets and processes this instance hears from. Soft state: it is
- * built from polls, lost on a restart, and full again one poll later.
+ * The targets and processes that poll this instance. The table is kept in
+ * memory only: it is built from polls, lost on a restart, and complete again
+ * after one poll interval.
  */
 
 import {isNewer, keepLeaving} from '../core/announcements';
@@ -12,17 +13,20 @@
 import {shouldPublish} from './announcedChange';
 import {GroupSlowdowns} from './groupPace';
 
-/** Silence after which a target or process is no longer listed. */
+/** A target or process that has not polled for this long is removed. */
 export const MEMBER_TTL_MS = 3_000;
-/** Least time between two looks for what fell silent. */
+/** Minimum time between two scans for members that stopped polling. */
 const EXPIRY_CHECK_INTERVAL_MS = 100;
-/** How long a removed boot is remembered, against late announcements. */
+/** How long a removed boot is kept to reject its late announcements. */
 const TOMBSTONE_TTL_MS = 60_000;
 
 interface TargetRecord {
   readonly announcement: Announcement;
   readonly lastPollAtMs: number;
-  /** As entries are told; every entry at this version holds exactly this. */
+  /**
+   * The announcement as last published to entries. Every entry that holds this
+   * version holds exactly this announcement.
+   */
   readonly published: Announcement;
   readonly publishedAtMs: number;
   readonly version: number;
@@ -35,7 +39,7 @@
   readonly version: number;
 }
 
-/** A process as last heard of. */
+/** A process as of its last poll. */
 export interface ProcessRecord {
   readonly processId: string;
   readonly role: 'entry' | 'agent';
@@ -46,7 +50,7 @@
   readonly provenAgeMs?: number;
 }
 
-/** What changed since a version. */
+/** Changes of the published announcements since a version. */
 export interface MemberChanges {
   readonly version: number;
   readonly full: boolean;
@@ -57,11 +61,14 @@
 /** Targets of one pool. */
 interface Pool {
   readonly ids: Set<string>;
-  /** When a target last came, left, or changed whether it may take work. */
+  /**
+   * Version at which a target was last added, removed or changed in a field
+   * that the choice of subsets depends on.
+   */
   version: number;
 }
 
-/** The targets and processes heard of; times are `performance.now()` ms. */
+/** Members of the cluster; times are `performance.now()` in milliseconds. */
 export class MemberTable {
   private readonly targets = new Map<string, TargetRecord>();
   private readonly tombstones = new Map<string, Tombstone>();
@@ -71,7 +78,10 @@
   private version = 0;
   private lastExpiryAtMs = -Infinity;
 
-  /** Returns whether it holds what the request called unchanged. */
+  /**
+   * Records a poll. Returns false when the poll says that its announcement is
+   * unchanged, but no earlier announcement of that boot is known here.
+   */
   heard(request: PollRequest, nowMs: number): boolean {
     const {
       processId,
@@ -97,8 +107,9 @@
   }
 
   /**
-   * The same as announcing it again. One that was dropped for silence has to
-   * come whole: what is held of it may be older than the drop.
+   * Equivalent to receiving the last announcement again under a new sequence
+   * number. A target that has been removed must send the whole announcement,
+   * since what is known of it may be older than the removal.
    */
   private repeat(
     {targetId, agentBootId, seq}: UnchangedAnnouncement,
@@ -111,8 +122,9 @@
   }
 
   /**
-   * Drops what fell silent. Called at each poll, but looked at all members each
-   * time it would cost the square of their number.
+   * Removes members that stopped polling. This is called at every poll, so it
+   * scans only at intervals: a scan at every poll would make the total cost
+   * quadratic in the number of members.
    */
   expire(nowMs: number): void {
     if (nowMs - this.lastExpiryAtMs < EXPIRY_CHECK_INTERVAL_MS) return;
@@ -137,7 +149,7 @@
     }
   }
 
-  /** Changes after `since`; everything when `since` is undefined. */
+  /** Changes after version `since`; everything when it is undefined. */
   changesSince(since: number | undefined): MemberChanges {
     const {version} = this;
     if (since === version)
@@ -158,12 +170,12 @@
     return this.version;
   }
 
-  /** Pools, with the version at which the subsets of their targets changed. */
+  /** Pools with the version at which the candidates for subsets last changed. */
   listPools(): ReadonlyMap<string, {readonly version: number}> {
     return this.pools;
   }
 
-  /** What entries are told of the targets of a pool. */
+  /** Published announcements of the targets of a pool. */
   listPublished(pool: string): readonly Announcement[] {
     return [...(this.pools.get(pool)?.ids ?? [])].flatMap(id => {
       const told = this.targets.get(id)?.published;
@@ -171,24 +183,24 @@
     });
   }
 
-  /** What entries are told of a target now. */
+  /** Published announcement of a target, with the slowdown of its group. */
   findPublished(targetId: string): Announcement | undefined {
     const record = this.targets.get(targetId);
     return record && this.groupSlowdowns.withGroupSlowdown(record.published);
   }
 
-  /** Whether what entries are told of a target changed after a version. */
+  /** Whether the published announcement of a target is newer than that. */
   changedAfter(targetId: string, version: number): boolean {
     return (this.targets.get(targetId)?.version ?? version) > version;
   }
 
-  /** The rules changed which targets may take work. */
+  /** Called when the rules change which targets may be sent work. */
   markAllPoolsChanged(): void {
     this.version++;
     for (const pool of this.pools.values()) pool.version = this.version;
   }
 
-  /** The newest announcement of a target, whoever follows it. */
+  /** The newest announcement of a target, whether it was published or not. */
   find(targetId: string): Announcement | undefined {
     return this.targets.get(targetId)?.announcement;
   }
@@ -229,7 +241,7 @@
       this.onPublishedChange(targetId, record?.published, merged);
   }
 
-  /** What entries are told of a target has changed. */
+  /** Updates pools and groups for a new published announcement, or none. */
   private onPublishedChange(
     targetId: string,
     before: Announcement | undefined,
@@ -249,7 +261,7 @@
     }
   }
 
-  /** The pool, marked as changed. */
+  /** Returns the pool, marked as changed at the current version. */
   private touchPool(pool: string | undefined): Pool | undefined {
     if (pool === undefined) return undefined;
     const known = this.pools.get(pool) ?? {ids: new Set<string>(), version: 0};
@@ -259,7 +271,7 @@
   }
 }
 
-/** What decides which entries follow a target. */
+/** The fields on which the choice of entries' subsets depends, as a key. */
 function subsetCriteria(
   published: Announcement | undefined
 ): string | undefined {
--- a/src/control/methods/checkOrderMethod.ts
+++ b/src/control/methods/checkOrderMethod.ts
@@ -1,4 +1,4 @@
-/** Tells agents which order stands, before they let one through. */
+/** Lets an agent check that a model order is open before it applies it. */
 
 import type {OrderCheck, OrderCheckAnswer} from '../../core/fleetMessages';
 import {orderCheck} from '../../rpc/messages';
@@ -6,7 +6,10 @@
 import type {ControlContext} from '../controlContext';
 import {awaitReadBarrier} from './leaderOnly';
 
-/** The `checkOrder` method: linearizable, or a late order could pass. */
+/**
+ * The `checkOrder` method. The read is linearizable: a stale read could let a
+ * superseded order pass.
+ */
 export function checkOrderMethod({
   log,
   state,
--- a/src/control/methods/claimMethods.ts
+++ b/src/control/methods/claimMethods.ts
@@ -14,7 +14,7 @@
 import type {SettleResult} from '../state/command';
 import {proposeCommand, awaitReadBarrier} from './leaderOnly';
 
-/** The `claim` method; a resend under the same request id is the same claim. */
+/** The `claim` method; repeating it with the same request id is safe. */
 export function claimMethod({
   log,
 }: ControlContext): RpcMethod<ClaimRequest, ClaimResult> {
@@ -27,7 +27,7 @@
   };
 }
 
-/** The `lookupClaim` method: what the leader has on record, up to date. */
+/** The `lookupClaim` method: a linearizable read of the record of a key. */
 export function lookupMethod({
   log,
   state,
--- a/src/control/methods/leaderOnly.ts
+++ b/src/control/methods/leaderOnly.ts
@@ -1,4 +1,4 @@
-/** Turns the log's refusals into answers that tell where the leader is. */
+/** Calls to the log that fail with an RPC error naming the leader elsewhere. */
 
 import {NotLeaderError} from '../log/notLeaderError';
 import type {ReplicatedLog} from '../log/replicatedLog';
@@ -11,7 +11,7 @@
   {readonly command: K}
 >;
 
-/** Proposes a command; rejects with RpcFailure `notLeader` elsewhere. */
+/** Proposes a command; rejects with RpcFailure `notLeader` on a follower. */
 export async function proposeCommand<C extends Command>(
   log: ReplicatedLog,
   command: C
@@ -23,7 +23,7 @@
   }
 }
 
-/** Waits until all that was committed before the call is applied here. */
+/** Waits until everything committed before the call is applied here. */
 export async function awaitReadBarrier(log: ReplicatedLog): Promise<void> {
   try {
     await log.readBarrier();
--- a/src/control/methods/locateMethod.ts
+++ b/src/control/methods/locateMethod.ts
@@ -4,7 +4,7 @@
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
 
-/** The `locate` method: what this instance has heard, whether it leads or not. */
+/** The `locate` method: reads the local member table, leader or not. */
 export function locateMethod({
   members,
 }: ControlContext): RpcMethod<LocateRequest, LocateAnswer> {
--- a/src/control/methods/pollMethod.ts
+++ b/src/control/methods/pollMethod.ts
@@ -1,4 +1,4 @@
-/** Answers polls of entries and agents, each instance for itself alone. */
+/** Handles polls of entries and agents with the state of this instance only. */
 
 import type {PollAnswer, PollRequest} from '../../core/wire';
 import {pollRequest} from '../../rpc/messages';
@@ -45,7 +45,10 @@
   return !usage.report(bootId, rows, usagePart, nowMs);
 }
 
-/** The committed rules, when newer than held, as briefly as it can be said. */
+/**
+ * The committed rules when they are newer than those that the process holds, as
+ * a difference where that is shorter.
+ */
 function newerRules(
   {state, recentRules}: ControlContext,
   {heldRevision, takesDiff}: PollRequest
@@ -58,8 +61,9 @@
 }
 
 /**
- * Counts submissions that are in the log but not known to be committed: they
- * may be accepted already, with this copy as one of the majority.
+ * The highest revision in the log, including submissions that are not known to
+ * be committed. They may already be accepted, with the copy of this instance as
+ * one of the majority.
  */
 function lastRevision({log, state}: ControlContext): number {
   let highest = state.rules.revision;
--- a/src/control/methods/statusMethods.ts
+++ b/src/control/methods/statusMethods.ts
@@ -1,4 +1,4 @@
-/** What operators ask: the state of the system, and use by customer. */
+/** Queries of operators: the state of the system and the usage by customer. */
 
 import type {StatusAnswer, UsageAnswer} from '../../core/operatorAnswers';
 import {noParams} from '../../rpc/messages';
@@ -6,7 +6,7 @@
 import type {ControlContext} from '../controlContext';
 import {awaitReadBarrier} from './leaderOnly';
 
-/** The `status` method: this instance's own view, whether it leads or not. */
+/** The `status` method: the local view of this instance, leader or not. */
 export function statusMethod(
   context: ControlContext
 ): RpcMethod<object | undefined, StatusAnswer> {
@@ -37,7 +37,7 @@
   };
 }
 
-/** The `usage` method: linearizable, since customers are charged by it. */
+/** The `usage` method: linearizable, since customers are billed by it. */
 export function usageMethod({
   log,
   state,
--- a/src/control/methods/submitMethod.ts
+++ b/src/control/methods/submitMethod.ts
@@ -1,4 +1,4 @@
-/** Takes a rule file from an operator. */
+/** Accepts rule files from operators. */
 
 import {createHash} from 'node:crypto';
 import type {SubmitAnswer} from '../../core/operatorAnswers';
@@ -34,7 +34,7 @@
   });
   context.logger.info(
     {revision, result: result.kind, submittedBy},
-    'submission'
+    `rule file revision ${revision} submitted: ${result.kind}`
   );
   return result;
 }
--- a/src/control/recentRules.ts
+++ b/src/control/recentRules.ts
@@ -1,22 +1,22 @@
 /**
- * Rule files that processes may still hold, so that a poll is answered with
- * the lines that changed and not with the whole file.
+ * Recent rule files that processes may still hold. With them, the reply to a
+ * poll contains only the lines that changed instead of the whole file.
  */
 
 import type {RuleDiff} from '../core/wire';
 import {RevisedText, diffRules} from '../rules/ruleDiff';
 
-/** A process that is further behind gets the whole file. */
+/** A process that is more revisions behind than this gets the whole file. */
 const MAX_KEPT_FILES = 64;
 
-/** The newest files that this instance has had in force, in memory only. */
+/** The newest rule files that this instance has applied, in memory only. */
 export class RecentRules {
   private readonly texts = new Map<number, string>();
-  /** Differences to `current`, by the revision they start from. */
+  /** Cached differences to `current`, by the revision they apply to. */
   private readonly diffs = new Map<number, RuleDiff>();
   private current: RevisedText = {revision: 0, text: ''};
 
-  /** Notes the file in force now. */
+  /** Records the file that is applied now. */
   note(file: RevisedText): void {
     if (file.revision === this.current.revision) return;
     this.current = file;
@@ -28,7 +28,10 @@
     }
   }
 
-  /** The way from a revision to the file in force, where it is the shorter. */
+  /**
+   * The difference from a revision to the current file. Undefined when the
+   * revision is no longer kept or the whole file is not longer.
+   */
   diffFrom(revision: number): RuleDiff | undefined {
     const known = this.diffs.get(revision);
     if (known !== undefined) return known;
--- a/src/control/rulesInForce.ts
+++ b/src/control/rulesInForce.ts
@@ -1,16 +1,16 @@
-/** The committed rules, parsed once a revision. */
+/** The committed rules, parsed once per revision. */
 
 import {parseRules} from '../rules/parseRules';
 import {RuleIndex} from '../rules/ruleIndex';
 import type {RulesState} from './state/rulesState';
 
-/** Reads the rules of one control instance. */
+/** Gives access to the rules that are committed on one control instance. */
 export class CommittedRules {
   private index: RuleIndex | undefined;
 
   constructor(private readonly state: Pick<RulesState, 'revision' | 'text'>) {}
 
-  /** Undefined before the first file. */
+  /** Undefined until a rule file is committed. */
   get(): RuleIndex | undefined {
     const {revision, text} = this.state;
     if (this.index?.revision !== revision) {
--- a/src/control/state/claimState.ts
+++ b/src/control/state/claimState.ts
@@ -1,7 +1,7 @@
 /**
  * Claims of idempotency keys. A non-idempotent call is dispatched only after
- * its key was claimed here, so two entries that hold the same key cannot both
- * dispatch it, and a resend finds the recorded answer.
+ * its key has been claimed here. Two entries with the same key therefore cannot
+ * both dispatch it, and a repeated call gets the recorded response.
  */
 
 import {parse, version as uuidVersion, validate} from 'uuid';
@@ -13,13 +13,13 @@
 } from '../../core/claims';
 import type {ClaimCommand, SettleCommand, SettleResult} from './command';
 
-/** How long answers are kept, and how old a time-stamped key may be. */
+/** Retention time of responses and maximum age of a key with a timestamp. */
 export const KEY_RETENTION_MS = 24 * 60 * 60 * 1000;
-/** Keys remembered for one customer; a new key beyond them is refused. */
+/** Maximum number of keys per customer; further new keys are refused. */
 export const MAX_KEYS_PER_CUSTOMER = 200_000;
-/** A key stamped further ahead than this is treated as one without a time. */
+/** A key with a timestamp further in the future is treated as having none. */
 const MAX_CLOCK_SKEW_MS = 5 * 60 * 1000;
-/** Old records looked at with each claim, so that pruning never stalls. */
+/** Records checked for expiry at each claim; bounds the cost of a claim. */
 const MAX_CHECKED_PER_CLAIM = 8;
 
 type ClaimStatus =
@@ -33,7 +33,7 @@
   | {readonly kind: 'answered'; readonly answer: RecordedAnswer}
   | {readonly kind: 'not run'}
   | {readonly kind: 'unknown'}
-  /** Only the fact that the key was used is still held. */
+  /** The response was dropped; only the fact that the key was used is kept. */
   | {readonly kind: 'spent'};
 
 interface ClaimRecord {
@@ -55,7 +55,7 @@
 /** Applies claims and settlements in log order. */
 export class ClaimState {
   private customers = new Map<string, Map<string, ClaimRecord>>();
-  /** Latest time in any claim: the log's own clock, equal on all instances. */
+  /** Latest time in any claim; a clock that is equal on all instances. */
   private clockMs = 0;
 
   claim(command: ClaimCommand): ClaimResult {
@@ -69,7 +69,7 @@
     return this.grant(keys, command, 1);
   }
 
-  /** What a claim would find, without making one. */
+  /** The result that a claim would get, without claiming the key. */
   lookup(customer: string, key: string, digest: string): LookupResult {
     const record = this.customers.get(customer)?.get(key);
     if (record === undefined)
@@ -127,7 +127,7 @@
     const {customer, key, digest, requestId} = command;
     const found = this.lookup(customer, key, digest);
     if (found.kind === 'none') return this.grant(keys, command, attempt + 1);
-    // The proposer's answer was lost and it asks again: still its claim.
+    // The reply to the proposer was lost and it repeats the claim.
     const isOwnClaim =
       status.kind === 'pending' && status.requestId === requestId;
     if (found.kind === 'pending' && isOwnClaim)
@@ -148,7 +148,7 @@
       targetId,
       agentBootId,
     } as const;
-    // Deleting first moves the key behind older ones for the pruning order.
+    // Deleting the key first moves it to the end of the pruning order.
     keys.delete(command.key);
     keys.set(command.key, {digest, attempt, atMs, status});
     return {kind: 'granted', attempt};
@@ -163,9 +163,9 @@
   }
 
   /**
-   * Frees what retention allows. A key that carries its own time can be
-   * forgotten, because a later use is refused by that time; any other key is
-   * kept without its answer, or it would run again.
+   * Drops records older than the retention time. A key with a timestamp can be
+   * removed, since a later use is refused because of that timestamp. Any other
+   * key is kept without its response, or a repeated call would run again.
    */
   private prune(keys: Map<string, ClaimRecord>): void {
     let checked = 0;
@@ -189,7 +189,7 @@
   }
 }
 
-/** An answer found late is better than "unknown"; nothing else overwrites. */
+/** A late response is better than `unknown`; nothing else is overwritten. */
 function maySettle(
   status: ClaimStatus,
   to: SettleCommand['settlement']['kind']
@@ -198,7 +198,7 @@
   return status.kind === 'unknown' && to === 'answered';
 }
 
-/** The time inside a version 7 UUID, in milliseconds; none for other keys. */
+/** The timestamp of a version 7 UUID in milliseconds; none for other keys. */
 export function keyTimeMs(key: string): number | undefined {
   if (!validate(key) || uuidVersion(key) !== 7) return undefined;
   return Buffer.from(parse(key)).readUIntBE(0, 6);
--- a/src/control/state/command.ts
+++ b/src/control/state/command.ts
@@ -1,11 +1,11 @@
-/** Commands in the replicated log, and their results. */
+/** Commands in the replicated log and their results. */
 
 import type {ClaimResult} from '../../core/claims';
 import type {SubmitResult} from '../../core/operatorAnswers';
 import type {CustomerUsage} from '../../core/wire';
 import type {ClaimRequest, SettleRequest} from '../../rpc/messages';
 
-/** Submits a rule file under its own revision number. */
+/** Submits a rule file under the revision number that it states. */
 export interface SubmitCommand {
   readonly kind: 'submit';
   readonly revision: number;
@@ -15,19 +15,22 @@
   readonly submittedBy: string;
 }
 
-/** Claims a key for one dispatch to one boot of one agent. */
+/** Claims an idempotency key for one dispatch to one boot of an agent. */
 export interface ClaimCommand extends ClaimRequest {
   readonly kind: 'claim';
-  /** Wall-clock time at the leader, for retention only. */
+  /** Wall-clock time at the leader; used for retention only. */
   readonly atMs: number;
 }
 
-/** Records the end of one attempt under a key. */
+/** Records the outcome of one attempt under an idempotency key. */
 export interface SettleCommand extends SettleRequest {
   readonly kind: 'settle';
 }
 
-/** Starts a new epoch of orders to one group of ranks; the result fences. */
+/**
+ * Starts a new epoch of map orders to one group of ranks. The result is the
+ * fencing token of the epoch.
+ */
 export interface FenceCommand {
   readonly kind: 'fence';
   readonly group: string;
@@ -40,38 +43,38 @@
   readonly group: string;
   readonly fence: number;
   readonly version: number;
-  /** Step from which all ranks use the map. */
+  /** First pass that all ranks run with the map. */
   readonly switchStep: number;
   readonly decision: 'commit' | 'abort';
-  /** Physical slots: expert of each slot, by rank. */
+  /** Expert in each expert slot, by rank. */
   readonly slots: readonly (readonly number[])[];
-  /** Part of the expert's tokens that each slot takes; even when absent. */
+  /** Part of the expert's tokens for each expert slot; even when absent. */
   readonly shares?: readonly (readonly number[])[];
 }
 
-/** Records what one boot of one entry has counted so far, for charging. */
+/** Records the usage totals of one boot of an entry process, for billing. */
 export interface UsageCommand {
   readonly kind: 'usage';
   readonly entryBootId: string;
   readonly totals: readonly CustomerUsage[];
 }
 
-/** Starts a new epoch of orders for models; the result fences. */
+/** Starts a new epoch of model orders; the result is its fencing token. */
 export interface FleetFenceCommand {
   readonly kind: 'fleetFence';
   readonly holder: string;
 }
 
-/** One target to be changed. */
+/** An order for one target to load a model. */
 export interface PlannedOrder {
   readonly targetId: string;
   readonly model: string;
   readonly version: string;
-  /** The rule that asked for it, in its one spelling. */
+  /** The rule that requires it, in normalized spelling. */
   readonly rule: string;
 }
 
-/** Records orders for models, before any agent hears of them. */
+/** Records model orders before they are sent to any agent. */
 export interface FleetOrderCommand {
   readonly kind: 'fleetOrder';
   readonly fence: number;
@@ -79,7 +82,7 @@
   readonly changes: readonly PlannedOrder[];
 }
 
-/** Records how the order to one target ended, as its agent told. */
+/** Records the outcome of the order to one target as its agent reported it. */
 export interface FleetEndCommand {
   readonly kind: 'fleetEnd';
   readonly fence: number;
@@ -88,22 +91,22 @@
   readonly outcome: 'done' | 'failed';
 }
 
-/** Puts a whole site document in force; only a higher version does. */
+/** Applies a whole site document if its version is higher than the current. */
 export interface SiteCommand {
   readonly kind: 'site';
   readonly version: number;
-  /** The document as it came, packed; see `packText`. */
+  /** The document as submitted, compressed; see `packText`. */
   readonly packed: string;
 }
 
-/** Takes an availability zone out of service, or back in. */
+/** Takes an availability zone out of service or returns it to service. */
 export interface ZoneCommand {
   readonly kind: 'zone';
   readonly availabilityZone: string;
   readonly out: boolean;
 }
 
-/** Written by a new leader to commit what earlier terms left. */
+/** Written by a new leader to commit the entries of earlier terms. */
 export interface NoopCommand {
   readonly kind: 'noop';
 }
@@ -123,14 +126,14 @@
   | ZoneCommand
   | NoopCommand;
 
-/** Result of a settlement; `ignored` when another one came first. */
+/** Result of a settlement; `ignored` when the claim cannot be settled by it. */
 export type SettleResult =
   {readonly kind: 'settled'} | {readonly kind: 'ignored'};
 
-/** Whether a document came into force, or a newer or equal one stood already. */
+/** Whether a document was applied, or an equal or newer one was already. */
 export interface SiteResult {
   readonly kind: 'accepted' | 'superseded';
-  /** Version in force afterwards. */
+  /** Version that is applied afterwards. */
   readonly version: number;
 }
 
--- a/src/control/state/controlState.ts
+++ b/src/control/state/controlState.ts
@@ -1,4 +1,4 @@
-/** All replicated state of control, as one state machine. */
+/** The replicated state of control as one state machine. */
 
 import {unreachable} from '../../core/errors';
 import type {StateMachine} from '../log/replicatedLog';
@@ -15,13 +15,13 @@
   readonly claims: ClaimsSnapshot;
   readonly usage: UsageSnapshot;
   readonly maps: MapSnapshot;
-  /** Absent in snapshots of versions that gave no orders. */
+  /** Absent in snapshots of versions that had no model orders. */
   readonly fleet?: FleetSnapshot;
-  /** Absent in snapshots of deployments that are run by rule files. */
+  /** Absent in snapshots of deployments that use rule files instead. */
   readonly site?: SiteSnapshot;
 }
 
-/** Applies committed commands in order; every instance ends up the same. */
+/** Applies committed commands in log order, with equal results everywhere. */
 export class ControlState implements StateMachine {
   readonly rules = new RulesState();
   readonly claims = new ClaimState();
--- a/src/control/state/rulesState.ts
+++ b/src/control/state/rulesState.ts
@@ -1,7 +1,7 @@
 /**
  * The accepted rule files. A submission is a compare-and-set on the revision
- * number, and its result is recorded, so that a resend after a lost answer
- * gets the answer of the first and never a second change.
+ * number and its result is recorded. A submission that is repeated after a lost
+ * reply gets the result of the first and never causes a second change.
  */
 
 import type {SubmitResult} from '../../core/operatorAnswers';
@@ -12,7 +12,7 @@
   readonly submittedBy: string;
 }
 
-/** Accepted submissions that can still be told apart on a resend. */
+/** Accepted submissions that are kept to recognize repeated ones. */
 const MAX_HISTORY_LENGTH = 20_000;
 
 /** The replicated state of the rules, as stored in snapshots. */
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The first file may have any number. When every disk of control was lost,
-   * processes still hold the last revision and take none below it: numbered
-   * from 1 again, the operators' files would be accepted and never in force.
+   * The first file may have any revision number. After control has lost all its
+   * disks, processes still hold the last revision and reject lower ones: files
+   * numbered from 1 again would be accepted here but never applied there.
    */
   private isNextRevision(revision: number): boolean {
     return this.revision === 0 || revision === this.revision + 1;
--- a/src/control/state/siteState.ts
+++ b/src/control/state/siteState.ts
@@ -1,41 +1,41 @@
-/** The site document in force and the availability zones that are out. */
+/** The applied site document and the availability zones out of service. */
 
 import type {SiteCommand, SiteResult, ZoneCommand} from './command';
 
-/** What a snapshot of the log keeps of it. */
+/** The site state as stored in snapshots. */
 export interface SiteSnapshot {
   readonly version: number;
   readonly packed: string;
   readonly zonesOut: readonly string[];
 }
 
-/** Version before any document was accepted. */
+/** Version before the first document is accepted. */
 export const NO_SITE_VERSION = -1;
 
-/** Replicated state; the highest version wins, whatever the order of arrival. */
+/** Applies site documents; the highest version wins in any order of arrival. */
 export class SiteState {
   private siteVersion = NO_SITE_VERSION;
   private packedText = '';
   private readonly out = new Set<string>();
 
-  /** Version in force, `NO_SITE_VERSION` before the first. */
+  /** Version of the applied document; `NO_SITE_VERSION` before the first. */
   get version(): number {
     return this.siteVersion;
   }
 
-  /** The document in force, packed; empty before the first. */
+  /** The applied document, compressed; empty before the first. */
   get packed(): string {
     return this.packedText;
   }
 
-  /** Zones to whose targets nothing may be sent. */
+  /** Zones that are out of service: no request may be sent to their targets. */
   get zonesOut(): readonly string[] {
     return [...this.out];
   }
 
   /**
-   * A document that is sent again, or was overtaken, changes nothing and is no
-   * error: an operator whose answer was lost must be able to repeat the call.
+   * A repeated or outdated document changes nothing and is not an error: an
+   * operator whose reply was lost must be able to repeat the call.
    */
   applySite({version, packed}: SiteCommand): SiteResult {
     if (version <= this.siteVersion)
--- a/src/control/state/usageState.ts
+++ b/src/control/state/usageState.ts
@@ -1,30 +1,31 @@
-/** Use by customer, summed over the boots of all entries, for charging. */
+/** Usage by customer, summed over the boots of all entries, for billing. */
 
 import type {CustomerUsage} from '../../core/wire';
 import type {UsageCommand} from './command';
 
-/** Boots whose counters are kept apart; silent ones are folded into one sum. */
+/** Boots kept separately; the least recent ones are folded into one sum. */
 const MAX_BOOTS = 4_096;
-/** Folded boots that are still known by name; about a month of restarts. */
+/** Folded boots whose ids are kept; about a month of restarts. */
 const MAX_FOLDED_BOOTS = 100_000;
 
-/** Use as stored in snapshots. */
+/** Usage as stored in snapshots. */
 export interface UsageSnapshot {
   readonly folded: readonly CustomerUsage[];
   readonly boots: readonly (readonly [string, readonly CustomerUsage[]])[];
   readonly foldedBoots?: readonly string[];
 }
 
-/** Adds up counters that each entry boot reports as totals. */
+/** Adds up the totals that each boot reports. */
 export class UsageState {
   private folded: readonly CustomerUsage[] = [];
   private boots = new Map<string, readonly CustomerUsage[]>();
   private foldedBoots = new Set<string>();
 
   /**
-   * Totals replace earlier ones of the same boot, so a resend adds nothing. A
-   * new leader reports again what it has heard from boots long gone: those in
-   * the sum already are passed over, or their customers would be charged twice.
+   * Totals replace earlier ones of the same boot, so a repeated report adds
+   * nothing. A new leader proposes the totals of all boots that reported to it,
+   * including stopped ones. Those that are already folded into the sum are
+   * skipped, or their customers would be billed twice.
    */
   apply(command: UsageCommand): void {
     if (this.foldedBoots.has(command.entryBootId)) return;
@@ -34,7 +35,7 @@
     for (const [bootId, totals] of this.boots) return this.fold(bootId, totals);
   }
 
-  /** Whether these totals are counted already. */
+  /** Whether these totals of the boot are already included. */
   covers(entryBootId: string, totals: readonly CustomerUsage[]): boolean {
     if (this.foldedBoots.has(entryBootId)) return true;
     const rows = this.boots.get(entryBootId) ?? [];
@@ -79,7 +80,7 @@
   }
 }
 
-/** One row a customer. */
+/** Adds up rows to one row per customer. */
 export function sumUsage(
   rows: readonly CustomerUsage[]
 ): readonly CustomerUsage[] {
--- a/src/control/usageTable.ts
+++ b/src/control/usageTable.ts
@@ -1,40 +1,40 @@
-/** Use that entries have reported to this instance since it started. */
+/** Usage that entries have reported to this instance since its start. */
 
 import type {CustomerUsage} from '../core/wire';
 
-/** Silence after which a boot whose use is logged is forgotten. */
+/** How long a boot is kept after its last report once its usage is logged. */
 const LOGGED_RETENTION_MS = 60_000;
 
 type Rows = ReadonlyMap<string, CustomerUsage>;
 
-/** One entry boot. */
+/** The usage of one boot of an entry process. */
 interface BootUsage {
   readonly rows: Rows;
   readonly lastReportAtMs: number;
 }
 
-/** Totals that are in the log. */
+/** Totals that are in the replicated log. */
 export interface LoggedUsage {
-  /** Whether the log holds at least these totals of a boot. */
+  /** Whether the log holds at least these totals of the boot. */
   covers(entryBootId: string, totals: readonly CustomerUsage[]): boolean;
 }
 
-/** A boot's totals, to be logged. */
+/** Totals of a boot that the log does not hold yet. */
 export interface UsageToLog {
   readonly entryBootId: string;
   readonly totals: readonly CustomerUsage[];
 }
 
-/** Totals by entry boot. */
+/** Reported totals by boot. */
 export class UsageTable {
   private readonly boots = new Map<string, BootUsage>();
 
   constructor(private readonly logged: LoggedUsage) {}
 
   /**
-   * Returns whether all rows of the boot are held. A part of the rows of a boot
-   * that is not known is not taken in: logged as its totals, it would take the
-   * place of the others.
+   * Returns whether all rows of the boot are known here. A partial report of an
+   * unknown boot is rejected: if it were logged as the totals of the boot, it
+   * would replace the rows that are missing here.
    */
   report(
     entryBootId: string,
@@ -51,7 +51,10 @@
     return true;
   }
 
-  /** What the log lacks; a leader puts it in. Forgets what nobody needs. */
+  /**
+   * Totals that the log lacks, for the leader to propose. Also drops boots that
+   * stopped reporting and whose totals are in the log.
+   */
   listUnlogged(nowMs: number): readonly UsageToLog[] {
     const unlogged: UsageToLog[] = [];
     for (const [entryBootId, {rows, lastReportAtMs: heardAtMs}] of this.boots) {
@@ -65,7 +68,7 @@
   }
 }
 
-/** Totals only grow: of two reports that came in reverse the larger holds. */
+/** Totals only grow, so the larger one wins if reports arrive out of order. */
 function maxTotals(
   known: CustomerUsage | undefined,
   row: CustomerUsage
--- a/src/control/zonesOut.ts
+++ b/src/control/zonesOut.ts
@@ -1,16 +1,16 @@
-/** The zones that the committed rules take out of service. */
+/** The availability zones that the committed rules take out of service. */
 
 import {parseRules} from '../rules/parseRules';
 import type {RulesState} from './state/rulesState';
 import type {ZoneStatus} from './entryViews';
 
-/** Follows the rules that are committed here. */
+/** Caches the zones of the rules that are committed on this instance. */
 export class ZoneStatusCache {
   private zones: ZoneStatus = {revision: 0, isZoneOut: () => false};
 
   constructor(private readonly rules: Pick<RulesState, 'revision' | 'text'>) {}
 
-  /** Parses the file anew only when it has changed. */
+  /** Parses the rule file again only when its revision has changed. */
   current(): ZoneStatus {
     const {revision, text} = this.rules;
     if (revision === this.zones.revision) return this.zones;
