--- a/src/control/fleet/fleetController.ts
+++ b/src/control/fleet/fleetController.ts
@@ -1,4 +1,7 @@
-/** The leader's loop for models: demand to plan, plan to orders to agents. */
+/**
+ * The control loop of the leader for the models of targets: it plans changes
+ * from the demand and carries them out by orders to agents.
+ */
 
 import type {Subscription} from 'rxjs';
 import {distinctUntilChanged, interval, map} from 'rxjs';
@@ -19,20 +22,21 @@
 import {poolDemand, poolView, ruleKey} from './fleetViews';
 
 const TICK_INTERVAL_MS = 1_000;
-/** A look at 1,000 targets costs milliseconds, and loads take minutes. */
+/** Planning for 1,000 targets takes milliseconds; loading a model, minutes. */
 const PLAN_INTERVAL_MS = 5_000;
-/** Guess of the time of a load until one was seen. */
+/** Assumed duration of loading a model until one has been measured. */
 const INITIAL_LOAD_MS = 120_000;
+/** Weight of the newest load in the moving average of load durations. */
 const LOAD_SMOOTHING = 0.2;
 
-/** What the loop works with. */
+/** Dependencies of the fleet controller. */
 export interface FleetControllerDependencies {
   readonly instanceId: string;
   readonly log: Pick<ReplicatedLog, 'propose' | 'readBarrier' | 'status$'>;
   readonly state: FleetState;
   readonly rules: () => RuleIndex | undefined;
   readonly targets: () => readonly Announcement[];
-  /** Undefined when the agent gave no answer; the order goes out again. */
+  /** Undefined when no agent announces the target; the order is sent again. */
   readonly send: (
     targetId: string,
     order: ModelOrder
@@ -41,7 +45,7 @@
   readonly logger: Logger;
 }
 
-/** What this instance has learned while it leads. */
+/** State that this instance has gathered since it became the leader. */
 interface LeaderState {
   readonly demand: Map<string, FleetDemand>;
   readonly orderedAtMs: Map<string, number>;
@@ -52,7 +56,7 @@
   return {demand: new Map(), orderedAtMs: new Map(), changedAtMs: new Map()};
 }
 
-/** Idle while the instance does not lead. */
+/** Plans and orders models of targets; idle on a follower. */
 export class FleetController {
   private readonly machine: FleetMachine;
   private leaderState = emptyLeaderState();
@@ -104,7 +108,7 @@
     const demand = this.leaderState.demand.get(pool) ?? new FleetDemand();
     this.leaderState.demand.set(pool, demand);
     demand.observe(poolDemand(targets, rules, pool), nowMs);
-    // A leader that has just begun has not heard of every target yet.
+    // Not every target may have announced itself to a new leader yet.
     if (!demand.settled(nowMs)) return {orders: [], blocked: []};
     const view = poolView(targets, rules, pool, this.dependencies.state, {
       demand: demand.levelsNow(),
@@ -123,7 +127,7 @@
     return {orders, blocked};
   }
 
-  /** Told when it changes: a roll-out that stands still needs an operator. */
+  /** Reports blocked models on a change: a stuck rollout needs an operator. */
   private reportBlocked(plans: readonly Pick<FleetPlan, 'blocked'>[]): void {
     const blocked = plans.flatMap(plan => plan.blocked);
     const text = JSON.stringify(blocked);
@@ -132,7 +136,10 @@
     for (const {reason} of blocked)
       this.dependencies.metrics.count('fleet.blocked', {reason});
     if (blocked.length > 0)
-      this.dependencies.logger.warn({blocked}, 'models wait for targets');
+      this.dependencies.logger.warn(
+        {blocked},
+        'some models get no further targets; see the reasons'
+      );
   }
 
   private handle(event: FleetEvent): void {
@@ -153,7 +160,7 @@
     }
   }
 
-  /** Without an answer the machine proposes the same again after a while. */
+  /** After a failure the state machine proposes the same command again. */
   private propose(
     command: Extract<FleetAction, {kind: 'propose'}>['command']
   ): void {
@@ -169,7 +176,11 @@
         const {kind: result} = applied.result;
         this.handle({kind: 'recorded', command, result, open});
       },
-      err => this.dependencies.logger.info({err}, 'proposal lost')
+      err =>
+        this.dependencies.logger.info(
+          {err},
+          'proposal failed; it is repeated while this instance leads'
+        )
     );
   }
 
@@ -183,7 +194,10 @@
     const {leaderState, dependencies} = this;
     if (command.kind === 'fleetOrder') {
       dependencies.metrics.count('fleet.ordered', {}, command.changes.length);
-      dependencies.logger.info({changes: command.changes}, 'models ordered');
+      dependencies.logger.info(
+        {changes: command.changes},
+        'model orders recorded'
+      );
       for (const {targetId} of command.changes)
         leaderState.orderedAtMs.set(targetId, nowMs);
       return;
@@ -203,7 +217,11 @@
         const {fence} = state;
         this.handle({kind: 'read', seq, fence, open: state.open()});
       },
-      err => logger.info({err}, 'read barrier not passed')
+      err =>
+        logger.info(
+          {err},
+          'read barrier failed; it is repeated while this instance leads'
+        )
     );
   }
 
@@ -213,10 +231,17 @@
       answer => {
         if (answer === undefined) return;
         if (answer.kind === 'failed')
-          logger.warn({targetId, order, answer}, 'order failed');
+          logger.warn(
+            {targetId, order, answer},
+            `target ${targetId} failed to load model ${order.model}`
+          );
         this.handle({kind: 'answer', targetId, order, answer});
       },
-      err => logger.debug({err: String(err), targetId}, 'order not answered')
+      err =>
+        logger.debug(
+          {err: String(err), targetId},
+          'model order not answered; it will be sent again'
+        )
     );
   }
 }
--- a/src/control/fleet/fleetMachine.ts
+++ b/src/control/fleet/fleetMachine.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's side of orders for models: pure, driven by events. It gives no
- * order before its fence is agreed and it has read what is under way, and
- * sends none that is not recorded.
+ * The leader side of model orders, a pure event-driven state machine. It
+ * accepts no plan before its fence is committed and the open orders have been
+ * read, and it sends no order that is not recorded in the log.
  */
 
 import {unreachable} from '../../core/errors';
@@ -15,26 +15,29 @@
 } from '../state/command';
 import type {FleetResult, OpenOrder} from './fleetState';
 
-/** What the machine reacts to. */
+/** Input of the state machine. */
 export type FleetEvent =
   | {readonly kind: 'lead'}
   | {readonly kind: 'resign'}
   | {readonly kind: 'fence'; readonly fence: number}
-  /** What the log holds, behind a barrier begun after the `read` of that seq. */
+  /**
+   * The replicated state, read behind a barrier that began after the `read`
+   * action with that seq.
+   */
   | {
       readonly kind: 'read';
       readonly seq: number;
       readonly fence: number;
       readonly open: readonly OpenOrder[];
     }
-  /** A proposed command was applied, and what is open since. */
+  /** A proposed command was applied; `open` are the open orders after it. */
   | {
       readonly kind: 'recorded';
       readonly command: FleetOrderCommand | FleetEndCommand;
       readonly result: FleetResult['kind'];
       readonly open: readonly OpenOrder[];
     }
-  /** An agent answered an order that was sent under this fence. */
+  /** The reply of an agent to `order`. */
   | {
       readonly kind: 'answer';
       readonly targetId: string;
@@ -42,16 +45,16 @@
       readonly answer: ModelOrderAnswer;
     }
   | {readonly kind: 'plan'; readonly changes: readonly PlannedOrder[]}
-  /** `wanted`: rules ask for models, or orders may be open. */
+  /** `wanted`: rules require models, or orders may be open. */
   | {readonly kind: 'tick'; readonly wanted: boolean};
 
-/** What is to be done. */
+/** Output of the state machine, carried out by its caller. */
 export type FleetAction =
   | {
       readonly kind: 'propose';
       readonly command: FleetFenceCommand | FleetOrderCommand | FleetEndCommand;
     }
-  /** Pass a read barrier, then come back with `read`. */
+  /** Pass a read barrier, then handle the event `read`. */
   | {readonly kind: 'read'; readonly seq: number}
   | {
       readonly kind: 'send';
@@ -59,12 +62,12 @@
       readonly order: ModelOrder;
     };
 
-/** Who this is, and its times in milliseconds. */
+/** Identity and timing of the state machine; times in milliseconds. */
 export interface FleetMachineConfig {
   readonly holder: string;
-  /** Time after which an order without an end is sent again. */
+  /** Time after which an order without an outcome is sent again. */
   readonly resendMs: number;
-  /** Time after which a proposal without an answer is made again. */
+  /** Time after which a proposal without a reply is repeated. */
   readonly proposeRetryMs: number;
 }
 
@@ -72,8 +75,8 @@
 
 type Phase =
   | {readonly kind: 'following'}
-  /** Leads, and has no reason to give orders yet. */
-  | {readonly kind: 'resting'}
+  /** Leads, but no orders are needed yet. */
+  | {readonly kind: 'standby'}
   | {readonly kind: 'fencing'}
   | {readonly kind: 'reading'; readonly fence: number; readonly seq: number}
   | {readonly kind: 'idle'; readonly fence: number}
@@ -83,7 +86,7 @@
       readonly command: Recorded;
     };
 
-/** Decides for the one instance that leads; the caller carries out actions. */
+/** State machine of one control instance; acts only while it leads. */
 export class FleetMachine {
   private phase: Phase = {kind: 'following'};
   private openOrders: readonly OpenOrder[] = [];
@@ -103,7 +106,7 @@
   handle(event: FleetEvent, nowMs: number): readonly FleetAction[] {
     switch (event.kind) {
       case 'lead':
-        this.phase = {kind: 'resting'};
+        this.phase = {kind: 'standby'};
         return [];
       case 'resign':
         return this.resign();
@@ -167,7 +170,7 @@
     return this.sendActions(fence, open);
   }
 
-  /** An order taken over keeps its id: the agent may be at it already. */
+  /** Inherited orders keep their ids: an agent may be executing one already. */
   private sendActions(
     fence: number,
     orders: readonly OpenOrder[]
@@ -222,7 +225,8 @@
     nowMs: number
   ): readonly FleetAction[] {
     const {phase} = this;
-    // The answer to an order under an older fence may have passed a newer one.
+    // A reply to an order under an older fence may have been overtaken by a
+    // newer one.
     if (!('fence' in phase) || order.fence !== phase.fence) return [];
     if (answer.kind === 'changing') return [];
     if (answer.kind === 'fenced')
@@ -251,7 +255,7 @@
 
   private onTick(wanted: boolean, nowMs: number): readonly FleetAction[] {
     const {phase} = this;
-    if (phase.kind === 'resting') return wanted ? this.requestFence(nowMs) : [];
+    if (phase.kind === 'standby') return wanted ? this.requestFence(nowMs) : [];
     const {resendMs, proposeRetryMs} = this.cfg;
     const retryIntervalMs = phase.kind === 'idle' ? resendMs : proposeRetryMs;
     if (nowMs - this.lastSentAtMs < retryIntervalMs) return [];
@@ -265,7 +269,7 @@
         return this.read(phase.fence);
       case 'idle':
         return this.sendActions(phase.fence, this.openOrders);
-      // The same again, never another one: the first may have counted.
+      // Repeats the same command, never another: the first may be recorded.
       case 'recording':
         return [{kind: 'propose', command: phase.command}];
       default:
--- a/src/control/fleet/fleetState.ts
+++ b/src/control/fleet/fleetState.ts
@@ -1,7 +1,7 @@
 /**
- * The replicated part of orders for models: the fence of the instance that
- * gives them, which orders are out, and how the last ones ended. An order
- * stands here before any agent hears of it, so that the next leader finds it.
+ * The replicated state of model orders: the fence of the instance that issues
+ * them, the open orders, and the outcomes of the last ones. An order is
+ * recorded here before it is sent to any agent, so the next leader finds it.
  */
 
 import type {
@@ -10,23 +10,23 @@
   FleetOrderCommand,
 } from '../state/command';
 
-/** An order that is not known to have ended. */
+/** An order without a recorded outcome. */
 export interface OpenOrder {
   readonly id: number;
   readonly targetId: string;
   readonly model: string;
   readonly version: string;
-  /** The rule that asked for it, in its one spelling. */
+  /** The rule that requires it, in normalized spelling. */
   readonly rule: string;
 }
 
-/** What a target was last changed to. */
+/** The model that the last successful order loaded into a target. */
 export interface LoadedModel {
   readonly model: string;
   readonly version: string;
 }
 
-/** As stored in snapshots. */
+/** The state as stored in snapshots. */
 export interface FleetSnapshot {
   readonly fence: number;
   readonly holder: string;
@@ -36,7 +36,7 @@
   readonly failures: readonly (readonly [string, number])[];
 }
 
-/** Whether a command counted. */
+/** Whether a command was recorded. */
 export interface FleetResult {
   readonly kind: 'recorded' | 'fenced';
 }
@@ -44,7 +44,7 @@
 const RECORDED: FleetResult = {kind: 'recorded'};
 const FENCED: FleetResult = {kind: 'fenced'};
 
-/** Applies fences, orders and their ends in log order. */
+/** Applies fences, orders and their outcomes in log order. */
 export class FleetState {
   private newestFence = 0;
   private holder = '';
@@ -53,7 +53,7 @@
   private changed = new Map<string, LoadedModel>();
   private failures = new Map<string, number>();
 
-  /** Highest fence given out; 0 before the first. */
+  /** Newest fence; 0 before the first. */
   get fence(): number {
     return this.newestFence;
   }
@@ -70,7 +70,7 @@
     return this.changed.get(targetId);
   }
 
-  /** Orders for a rule that failed one after the other. */
+  /** Number of consecutive failed orders for a rule. */
   failuresOf(rule: string): number {
     return this.failures.get(rule) ?? 0;
   }
@@ -82,10 +82,10 @@
   }
 
   applyOrder({fence, id, changes}: FleetOrderCommand): FleetResult {
-    // What an older leader had not recorded in time must never be recorded: the
-    // newer one has planned without it.
+    // An order of an older leader must not be recorded late: the newer leader
+    // has planned without it.
     if (fence !== this.newestFence) return FENCED;
-    // A proposer whose answer was lost proposes the same again.
+    // A proposer whose reply was lost proposes the same orders again.
     if (id <= this.lastId) return RECORDED;
     this.lastId = id;
     for (const change of changes) {
--- a/src/control/fleet/fleetViews.ts
+++ b/src/control/fleet/fleetViews.ts
@@ -1,4 +1,4 @@
-/** What the decision on models sees, from announcements, rules and the log. */
+/** Builds the input of model planning from announcements, rules and the log. */
 
 import type {Announcement} from '../../core/wire';
 import {workByModel} from '../../policy/fleetDemand';
@@ -9,19 +9,22 @@
 import type {RuleIndex} from '../../rules/ruleIndex';
 import type {FleetState} from './fleetState';
 
-/** Orders for a rule that fail one after the other until none is given. */
+/** After this many consecutive failures a rule gets no more orders. */
 const MAX_CONSECUTIVE_FAILURES = 2;
 
-/** What is known beside rules, log and announcements. */
+/** Measurements of the leader that are in no rule, log or announcement. */
 export interface FleetEstimates {
   readonly demand: ReadonlyMap<string, number>;
   readonly loadMs: number;
-  /** When the last order to a target ended, as far as this leader saw it. */
+  /** When the last order to each target ended, if this leader recorded it. */
   readonly changedAtMs: ReadonlyMap<string, number>;
   readonly nowMs: number;
 }
 
-/** Targets that orders may go to: a group of ranks holds its model together. */
+/**
+ * Targets of a pool that orders may be sent to. Ranks of a group are excluded,
+ * as all ranks of a group hold one model together.
+ */
 export function orderableTargets(
   targets: readonly Announcement[],
   pool: string
@@ -29,7 +32,7 @@
   return targets.filter(one => one.pool === pool && one.group === undefined);
 }
 
-/** Demand in a pool now, in requests at once by model. */
+/** Current demand in a pool by model, in concurrent requests. */
 export function poolDemand(
   targets: readonly Announcement[],
   rules: RuleIndex,
@@ -39,12 +42,12 @@
   return workByModel(all, rules.warmup(pool).full);
 }
 
-/** The key by which failures of orders are counted. */
+/** The key under which failed orders of a rule are counted. */
 export function ruleKey(rule: ServeRule): string {
   return printRuleWords(rule);
 }
 
-/** The view of one pool. */
+/** The planning input for one pool. */
 export function poolView(
   targets: readonly Announcement[],
   rules: RuleIndex,
--- a/src/control/maps/fromRankSchema.ts
+++ b/src/control/maps/fromRankSchema.ts
@@ -1,4 +1,4 @@
-/** Validates what a rank sends to control, once, where it arrives. */
+/** Schema of the messages of ranks to control, checked once on arrival. */
 
 import * as z from 'zod';
 import type {FromRankMessage} from '../../core/mapMessages';
@@ -7,7 +7,7 @@
 const SWITCH_ID = {group: z.string(), fence: COUNT, version: COUNT};
 const FROM = {group: z.string(), rank: COUNT};
 
-/** Any message of a rank to control. */
+/** Any message from a rank to control. */
 export const FROM_RANK: z.ZodType<FromRankMessage> = z.discriminatedUnion(
   'kind',
   [
--- a/src/control/maps/mapController.ts
+++ b/src/control/maps/mapController.ts
@@ -1,4 +1,7 @@
-/** The leader's loop for one group: popularity to plan, plan to switch. */
+/**
+ * The control loop of the leader for the expert map of one group: it plans maps
+ * from the reported popularity of experts and carries out map switches.
+ */
 
 import type {Observable, Subscription} from 'rxjs';
 import {distinctUntilChanged, map, merge, timer} from 'rxjs';
@@ -28,9 +31,9 @@
   SwitchResult,
 } from './mapSwitchEvents';
 
-/** The way to the agents of a group. */
+/** Sends messages to the agents of a group. */
 export interface RankLink {
-  /** Loss is expected; what matters is sent again. */
+  /** Messages may be lost; those that must arrive are sent again. */
   send(rank: number, message: ToRankMessage): void;
 }
 
@@ -42,18 +45,18 @@
   readonly tickMs: number;
 }
 
-/** Whether rules let the group rebalance, and from which gain. */
+/** Whether rules let the group rebalance and the gain that they require. */
 export interface RebalancePolicy {
   readonly on: boolean;
-  /** Least fall of the skew that starts a load, 0 to 1. */
+  /** Minimum reduction of the load skew that starts a load, 0 to 1. */
   readonly minGain: number;
 }
 
-/** One group's loop on a control instance; idle while that does not lead. */
+/** The loop for one group on a control instance; idle on a follower. */
 export class MapController {
   private readonly machine: MapSwitch;
   private readonly planner: RebalancePlanner;
-  /** Newest report of each rank. */
+  /** Latest report of each rank. */
   private readonly latestReports = new Map<number, ExpertCountsReport>();
   private readonly step = new StepEstimate();
   private pending?: ExpertMap;
@@ -91,7 +94,7 @@
     });
   }
 
-  /** Takes a message of a rank that was validated at the edge. */
+  /** Handles a message from a rank; it has been validated on arrival. */
   receive(message: FromRankMessage): void {
     switch (message.kind) {
       case 'expertCounts':
@@ -102,8 +105,8 @@
         this.step.record(message.step, performance.now());
         return this.handle({kind: 'message', message});
       case 'join':
-        // Whoever starts anew has no order to load in hand. Waiting for it to
-        // be carried out would stop all further loads of the group meanwhile.
+        // A restarted agent has lost its load orders. If the planner waited for
+        // them, all further loads of the group would be blocked.
         this.planner.restarted(message.rank);
         return this.handle({kind: 'message', message});
       case 'promise':
@@ -121,8 +124,8 @@
 
   private onCounts(report: ExpertCountsReport): void {
     const last = this.latestReports.get(report.rank);
-    // A restarted agent counts from 1 again. Judged by the number alone, its
-    // reports would be dropped for as long as its last boot had run.
+    // A restarted agent numbers its reports from 1 again. Compared by number
+    // alone, they would be dropped for as long as the previous boot had run.
     const isLate =
       last?.agentBootId === report.agentBootId && report.seq <= last.seq;
     if (report.group !== this.cfg.group || isLate) return;
@@ -192,7 +195,7 @@
     this.metrics.count('map.aborted', {side: 'control', reason});
   }
 
-  /** Without an answer the machine proposes the same again after a while. */
+  /** After a failure the state machine proposes the same command again. */
   private propose(command: FenceCommand | MapDecisionCommand): void {
     this.log.propose(command).then(
       applied => {
@@ -207,7 +210,11 @@
           result: applied.result.kind,
         });
       },
-      err => this.logger.info({err, kind: command.kind}, 'proposal lost')
+      err =>
+        this.logger.info(
+          {err, kind: command.kind},
+          'proposal failed; it is repeated while this instance leads'
+        )
     );
   }
 
@@ -217,7 +224,7 @@
         const maps = this.state.group(this.cfg.group);
         this.handle({kind: 'read', seq, maps});
       },
-      err => this.logger.info({err}, 'read barrier not passed')
+      err => this.logger.info({err}, 'read barrier failed; maps not read')
     );
   }
 
@@ -228,7 +235,11 @@
         if (decision === 'undecided') return;
         this.link.send(rank, {kind: 'decision', ...id, decision});
       },
-      err => this.logger.info({err}, 'read barrier not passed')
+      err =>
+        this.logger.info(
+          {err},
+          `read barrier failed; query of rank ${rank} not answered`
+        )
     );
   }
 }
--- a/src/control/maps/mapDirector.ts
+++ b/src/control/maps/mapDirector.ts
@@ -1,4 +1,4 @@
-/** One map controller for each group of ranks that this instance hears of. */
+/** Runs a map controller for each group of ranks in the member table. */
 
 import {Subscription, interval} from 'rxjs';
 import type {Logger} from '../../core/logger';
@@ -21,14 +21,17 @@
 const SCAN_INTERVAL_MS = 500;
 const SEND_TIMEOUT_MS = 1_000;
 const TICK_INTERVAL_MS = 250;
-/** Steps from the order to the switch: two rounds and a quorum write. */
-const MARGIN_STEPS = 50;
-const MAX_MARGIN_STEPS = 800;
+/**
+ * Passes between the prepare message and the switch. They cover two message
+ * rounds and a quorum write.
+ */
+const MARGIN_PASSES = 50;
+const MAX_MARGIN_PASSES = 800;
 const PROMISE_TIMEOUT_MS = 3_000;
 const RESEND_INTERVAL_MS = 200;
 const PROPOSE_RETRY_INTERVAL_MS = 3_000;
 
-/** What the director works with. */
+/** Dependencies of the map manager. */
 export interface MapManagerDependencies {
   readonly instanceId: string;
   readonly log: ReplicatedLog;
@@ -39,7 +42,7 @@
   readonly metrics: Metrics;
 }
 
-/** Starts controllers as groups appear; each idles while this does not lead. */
+/** Starts a controller for each new group; controllers idle on a follower. */
 export class MapManager {
   private readonly controllers = new Map<string, MapController>();
   private readonly clients: AgentClients;
@@ -58,7 +61,7 @@
     return subscriptions;
   }
 
-  /** Takes a message of a rank that was validated at the edge. */
+  /** Handles a message from a rank; it has been validated on arrival. */
   receive(message: FromRankMessage): void {
     this.controllers.get(message.group)?.receive(message);
   }
@@ -87,8 +90,8 @@
           evenShape(ranks, experts, slots - experts),
           uniformPopularity
         ),
-        marginSteps: MARGIN_STEPS,
-        maxMarginSteps: MAX_MARGIN_STEPS,
+        marginSteps: MARGIN_PASSES,
+        maxMarginSteps: MAX_MARGIN_PASSES,
         promiseTimeoutMs: PROMISE_TIMEOUT_MS,
         resendMs: RESEND_INTERVAL_MS,
         proposeRetryMs: PROPOSE_RETRY_INTERVAL_MS,
@@ -109,10 +112,10 @@
     this.deliver(group, rank, message).catch((err: unknown) => {
       this.dependencies.logger.debug(
         {err: String(err), group, rank},
-        'map message not delivered'
+        `could not send ${message.kind} to rank ${rank} of group ${group}`
       );
-      // All else is sent again; a load would be waited for, and with it all
-      // further loads of the group.
+      // Other messages are sent again. A lost load order is reported as failed:
+      // waiting for it would block all further loads of the group.
       if (message.kind !== 'stage') return;
       const {slot, expert} = message;
       this.receive({kind: 'staged', group, rank, slot, expert, ok: false});
@@ -127,13 +130,14 @@
     const target = this.dependencies.members
       .listTargets()
       .find(one => one.group?.id === group && one.group.rank === rank);
-    if (target === undefined) throw new Error('no agent announces that rank');
+    if (target === undefined)
+      throw new Error(`no agent announces rank ${rank} of group ${group}`);
     await this.clients
       .clientFor(target)
       .call(METHODS.map, message, SEND_TIMEOUT_MS);
   }
 
-  /** Off unless a rule says on: moving experts is the operators' choice. */
+  /** Rebalancing is off unless a rule enables it; operators decide on it. */
   private rebalancePolicy(pool: string): RebalancePolicy {
     const rule = this.rules.get()?.rebalance(pool);
     const minGain = (rule?.gainPercent ?? 0) / PERCENT;
--- a/src/control/maps/mapState.ts
+++ b/src/control/maps/mapState.ts
@@ -1,29 +1,28 @@
 /**
- * The replicated part of expert maps: for each group the highest fence given
- * out and what was decided under it. Every control instance applies the same
- * commands in the same order, so that any of them can answer after a read
- * barrier.
+ * The replicated state of expert maps: for each group the newest fence and the
+ * decisions made under it. Every control instance applies the same commands in
+ * the same order, so any instance can answer queries after a read barrier.
  */
 
 import type {CommittedMap, ExpertMap, SwitchId} from '../../core/mapMessages';
 import {withEvenShares} from '../../policy/placement';
 import type {FenceCommand, MapDecisionCommand} from '../state/command';
 
-/** What is agreed on one group. */
+/** The replicated state of one group. */
 export interface GroupMaps {
-  /** Highest fence given out; 0 before the first. */
+  /** Newest fence; 0 before the first. */
   readonly fence: number;
   readonly holder: string;
-  /** Highest version decided, committed or not. */
+  /** Highest version with a decision, commit or abort. */
   readonly decidedVersion: number;
   readonly current?: CommittedMap;
   readonly previous?: CommittedMap;
 }
 
-/** The answer to a rank that stands at its barrier. */
+/** The outcome reported to a rank that waits before the switch pass. */
 export type SwitchOutcome = 'commit' | 'abort' | 'undecided';
 
-/** As stored in snapshots. */
+/** The state as stored in snapshots. */
 export interface MapSnapshot {
   readonly groups: readonly (readonly [string, GroupMaps])[];
 }
@@ -53,17 +52,17 @@
     return {fence};
   }
 
-  /** A decision counts once, and only from the holder of the newest fence. */
+  /** Records a decision once, and only under the newest fence. */
   applyDecision(command: MapDecisionCommand): {
     readonly kind: 'recorded' | 'fenced';
   } {
     const group = this.group(command.group);
     const {fence, version} = command;
-    // A late decision of a replaced controller must not count: ranks that
-    // asked since have been told that its switch can no longer happen.
+    // A late decision of a replaced controller must be rejected: ranks that
+    // have queried since may already know its switch as aborted.
     if (fence !== group.fence) return {kind: 'fenced'};
     if (version <= group.decidedVersion) {
-      // A proposer whose answer was lost proposes the same again.
+      // A proposer whose reply was lost proposes the same decision again.
       const isSameDecision = this.outcome(command) === command.decision;
       return {kind: isSameDecision ? 'recorded' : 'fenced'};
     }
@@ -71,7 +70,7 @@
     return {kind: 'recorded'};
   }
 
-  /** What is certain about a switch; `undecided` may change, the others not. */
+  /** The outcome of a switch. Only `undecided` can change later. */
   outcome(id: SwitchId): SwitchOutcome {
     const group = this.group(id.group);
     const committed = [group.current, group.previous].find(
@@ -79,7 +78,7 @@
     );
     if (committed) return 'commit';
     if (id.version <= group.decidedVersion) return 'abort';
-    // No decision under an older fence can count any more.
+    // A decision under an older fence can no longer be recorded.
     return id.fence < group.fence ? 'abort' : 'undecided';
   }
 
@@ -107,7 +106,7 @@
   };
 }
 
-/** The map in a command; with no shares every expert is split evenly. */
+/** The map of a command; without shares, each expert is split evenly. */
 function mapOf(command: MapDecisionCommand): ExpertMap {
   const {slots, shares} = command;
   return shares ? {slots, shares} : withEvenShares(slots);
--- a/src/control/maps/mapSwitch.ts
+++ b/src/control/maps/mapSwitch.ts
@@ -1,7 +1,7 @@
 /**
- * The controller's side of a switch of expert maps for one group: pure, driven
- * by events. All ranks promise first, then the decision is agreed in the log,
- * and only then is it told.
+ * The controller side of map switches of one group, a pure event-driven state
+ * machine. A switch is a two-phase commit: all ranks promise, the decision is
+ * committed to the log, and only then is it sent to the ranks.
  */
 
 import {unreachable} from '../../core/errors';
@@ -25,7 +25,7 @@
   SwitchEvent,
 } from './mapSwitchEvents';
 
-/** Decides for one group; the caller carries out the actions in order. */
+/** State machine of one group; the caller carries out the actions in order. */
 export class MapSwitch {
   private phase: Phase = {kind: 'following'};
   private switchCount = 0;
@@ -34,7 +34,7 @@
   private readSeq = 0;
   private minReadSeq = 0;
   private newestFence = 0;
-  /** Whether the group is known to have a map that ranks can run with. */
+  /** Whether the group is known to have a committed map. */
   private hasMap = false;
   private lastSentAtMs = -Infinity;
 
@@ -42,13 +42,13 @@
     this.marginSteps = cfg.marginSteps;
   }
 
-  /** Whether a new switch may be started; ranks that wait to join go first. */
+  /** Whether a new switch may start; waiting joins are answered first. */
   get idle(): boolean {
     const isFree = this.phase.kind === 'idle' && this.waitingJoins.size === 0;
     return isFree && this.hasMap;
   }
 
-  /** Fence held, once it is known to be the newest. */
+  /** The fence of this instance once it has one. */
   get fence(): number | undefined {
     return 'fence' in this.phase ? this.phase.fence : undefined;
   }
@@ -94,7 +94,7 @@
   }
 
   private onFence(fence: number): readonly SwitchAction[] {
-    // Taking a fence twice would give two switches the same version.
+    // Accepting a fence twice would give two switches the same version.
     if (this.phase.kind !== 'fencing' || fence <= this.newestFence) return [];
     this.phase = {kind: 'idle', fence};
     this.newestFence = fence;
@@ -114,16 +114,16 @@
     nowMs: number
   ): readonly SwitchAction[] {
     const {phase} = this;
-    // A read begun before the last decision may not show it.
+    // A read that began before the last decision may not include it.
     if (phase.kind !== 'idle' || seq < this.minReadSeq) return [];
-    // A newer controller may have switches under way that are not known here.
+    // A newer controller may have started switches that are unknown here.
     if (maps.fence !== phase.fence) return this.requestFence(nowMs);
     if (maps.current === undefined) return this.decideFirstMap(phase.fence);
     this.hasMap = true;
     return this.waitingJoins.answer(seq, this.cfg.group, maps);
   }
 
-  /** No rank runs without a map, so that the first one needs no promise. */
+  /** Ranks do not run without a map, so the first map needs no promises. */
   private decideFirstMap(fence: number): readonly SwitchAction[] {
     const map = this.cfg.initialMap;
     const command = this.command(fence, map, 0);
@@ -222,7 +222,7 @@
     const attempt = {...phase.attempt, promised};
     const next = {...phase, attempt};
     this.phase = next;
-    // Every rank must hold: one that does not would run on with the old map.
+    // Every rank must hold; one that does not would continue with the old map.
     if (promised.size < this.cfg.ranks) return [];
     this.marginSteps = this.cfg.marginSteps;
     return this.decide(next, undefined);
@@ -233,7 +233,8 @@
     if (phase.kind !== 'preparing') return [];
     if (message.version !== phase.attempt.command.version) return [];
     switch (message.reason) {
-      // A rank that starts or finishes an earlier switch may promise in time.
+      // The rank is starting or finishing an earlier switch. It may still
+      // promise before the timeout, as the prepare message is sent again.
       case 'unready':
       case 'busy':
         return [];
@@ -257,13 +258,13 @@
     const {phase} = this;
     if (phase.kind === 'following') return [];
     this.waitingJoins.add(req, this.readSeq + 1);
-    // The rank has forgotten what it promised. What is pending must be decided
-    // before it is told a map, or it would miss the switch.
+    // The restarted rank has lost its promise. A pending switch must be decided
+    // before the rank receives a map, or the rank would miss the switch.
     if (phase.kind === 'preparing') return this.decide(phase, 'joined');
     return phase.kind === 'idle' ? [this.read()] : [];
   }
 
-  /** Proposes the decision; nobody is told before it is recorded. */
+  /** Proposes the decision; it is sent to ranks only after it is recorded. */
   private decide(
     phase: Extract<Phase, {attempt: Attempt}>,
     reason: AbortReason | undefined
@@ -326,7 +327,7 @@
         return this.waitingJoins.size > 0 || !this.hasMap ? [this.read()] : [];
       case 'preparing':
         return this.prepareActions(phase.attempt);
-      // The same decision again, never another: the first may have counted.
+      // Repeats the same decision, never another: the first may be recorded.
       case 'deciding':
         return [{kind: 'propose', command: phase.attempt.command}];
       default:
--- a/src/control/maps/mapSwitchEvents.ts
+++ b/src/control/maps/mapSwitchEvents.ts
@@ -1,4 +1,4 @@
-/** What the controller's side of a switch reacts to, and what it asks for. */
+/** Events and actions of the controller side of a map switch. */
 
 import type {
   ExpertMap,
@@ -9,13 +9,13 @@
 import type {FenceCommand, MapDecisionCommand} from '../state/command';
 import type {GroupMaps} from './mapState';
 
-/** Why a switch was given up. */
+/** Why a switch was aborted. */
 export type AbortReason =
   | 'timeout'
   | 'passed'
   | 'load-failed'
   | 'fenced'
-  /** A rank has restarted and needs to know what is in force. */
+  /** A rank has restarted and needs the active map. */
   | 'joined';
 
 /** How a switch ended. */
@@ -23,9 +23,9 @@
   | {readonly kind: 'switched'; readonly map: ExpertMap}
   | {readonly kind: 'aborted'; readonly reason: AbortReason};
 
-/** What the controller's side reacts to. */
+/** Input of the controller side. */
 export type SwitchEvent =
-  /** This instance now leads; nothing is done before a fence is held. */
+  /** This instance became the leader; it does nothing until it has a fence. */
   | {readonly kind: 'lead'}
   | {readonly kind: 'resign'}
   | {readonly kind: 'fence'; readonly fence: number}
@@ -35,12 +35,15 @@
       readonly version: number;
       readonly result: 'recorded' | 'fenced';
     }
-  /** What the log holds, behind a barrier begun after the `read` of that seq. */
+  /**
+   * State of the group, read behind a barrier that began after the `read`
+   * action with that seq.
+   */
   | {readonly kind: 'read'; readonly seq: number; readonly maps: GroupMaps}
   | {
       readonly kind: 'start';
       readonly map: ExpertMap;
-      /** Highest step known of any rank. */
+      /** Estimated highest pass number of any rank. */
       readonly step: number;
     }
   | {
@@ -49,13 +52,13 @@
     }
   | {readonly kind: 'tick'};
 
-/** What is to be done. */
+/** Output of the controller side, carried out by its caller. */
 export type SwitchAction =
   | {readonly kind: 'propose'; readonly command: FenceCommand}
   | {readonly kind: 'propose'; readonly command: MapDecisionCommand}
-  /** Pass a read barrier, then come back with `read`. */
+  /** Pass a read barrier, then handle the event `read`. */
   | {readonly kind: 'read'; readonly seq: number}
-  /** Pass a read barrier, then tell the rank the outcome, if there is one. */
+  /** Pass a read barrier, then send the outcome, if decided, to the rank. */
   | {readonly kind: 'answerQuery'; readonly id: SwitchId; readonly rank: number}
   | {
       readonly kind: 'send';
@@ -64,21 +67,21 @@
     }
   | {readonly kind: 'ended'; readonly result: SwitchResult};
 
-/** The group, and times in milliseconds. */
+/** Settings of the switches of one group; times in milliseconds. */
 export interface MapSwitchConfig {
   readonly group: string;
   readonly ranks: number;
   readonly holder: string;
-  /** Map of a group that has never had one. */
+  /** First map of a group that has none. */
   readonly initialMap: ExpertMap;
-  /** Steps from the highest known one to the switch. */
+  /** Passes from the highest known one to the switch. */
   readonly marginSteps: number;
   readonly maxMarginSteps: number;
   readonly promiseTimeoutMs: number;
   readonly resendMs: number;
   /**
-   * Time after which a proposal without answer is made again; above the usual
-   * delay of the log, since a fence that is asked for twice voids the first.
+   * Time after which a proposal without a reply is repeated. It must exceed the
+   * usual latency of the log, since a second fence invalidates the first.
    */
   readonly proposeRetryMs: number;
 }
--- a/src/control/maps/mapSwitchPhase.ts
+++ b/src/control/maps/mapSwitchPhase.ts
@@ -1,10 +1,10 @@
-/** Phases of the controller's side of a switch. */
+/** Phases of the controller side of a map switch. */
 
 import type {ExpertMap} from '../../core/mapMessages';
 import type {MapDecisionCommand} from '../state/command';
 import type {AbortReason} from './mapSwitchEvents';
 
-/** One attempt; `reason` is set once it is to be aborted. */
+/** One attempt to switch; `reason` is set when it is being aborted. */
 export interface Attempt {
   readonly command: MapDecisionCommand;
   readonly map: ExpertMap;
@@ -13,7 +13,7 @@
   readonly reason?: AbortReason;
 }
 
-/** Where one control instance stands with the switches of a group. */
+/** State of one control instance in the switches of a group. */
 export type Phase =
   | {readonly kind: 'following'}
   | {readonly kind: 'fencing'}
--- a/src/control/maps/stepEstimate.ts
+++ b/src/control/maps/stepEstimate.ts
@@ -1,15 +1,18 @@
-/** Where a group's ranks probably are now, from reports that are seconds old. */
+/**
+ * Estimates the current pass of a group (`step` on the wire) from reports that
+ * are seconds old.
+ */
 
-/** The first guess of a rate is taken from reports at least this far apart. */
+/** The rate is estimated only from reports at least this far apart. */
 const MIN_RATE_WINDOW_MS = 100;
 
-/** Times are `performance.now()` milliseconds. */
+/** Times are `performance.now()` in milliseconds. */
 export class StepEstimate {
   private step = 0;
   private atMs: number | undefined;
   private stepsPerMs = 0;
 
-  /** A rank showed this step; older ones are ignored. */
+  /** Records a reported step; steps that are not newer are ignored. */
   record(step: number, nowMs: number): void {
     if (step <= this.step && this.atMs !== undefined) return;
     const elapsedMs = this.atMs === undefined ? 0 : nowMs - this.atMs;
@@ -20,8 +23,9 @@
   }
 
   /**
-   * Without the growth since the last report the switch step would have passed
-   * when the order arrives, or the group would stand at it and wait.
+   * Extrapolates from the last report. Without that, the group would have
+   * passed the chosen switch step when the prepare message arrives, or would
+   * have to wait before it.
    */
   at(nowMs: number): number {
     if (this.atMs === undefined) return this.step;
--- a/src/control/maps/waitingJoins.ts
+++ b/src/control/maps/waitingJoins.ts
@@ -1,16 +1,16 @@
-/** Ranks that have started and wait to be told what is in force. */
+/** Ranks that have started and wait for the active map. */
 
 import type {JoinRequest} from '../../core/mapMessages';
 import type {GroupMaps} from './mapState';
 import type {SwitchAction} from './mapSwitchEvents';
 
-/** A join and the first read that may answer it. */
+/** A join request and the first read that may answer it. */
 interface WaitingJoin {
   readonly req: JoinRequest;
   readonly seq: number;
 }
 
-/** The newest join of each rank. */
+/** The latest join request of each rank. */
 export class WaitingJoins {
   private readonly byRank = new Map<number, WaitingJoin>();
 
@@ -27,15 +27,15 @@
     this.byRank.clear();
   }
 
-  /** Answers with what read `seq` found, and forgets those answered. */
+  /** Answers joins from the state of read `seq` and removes those answered. */
   answer(
     seq: number,
     group: string,
     {fence, current, previous}: GroupMaps
   ): readonly SwitchAction[] {
     if (current === undefined) return [];
-    // A read begun before the rank asked may be from before a switch in which
-    // that rank took part until it restarted.
+    // A read that began before the rank joined may be older than a switch that
+    // the rank took part in before it restarted.
     const answerable = [...this.byRank.values()].filter(
       join => join.seq <= seq
     );
--- a/src/control/memberTable.ts
+++ b/src/control/memberTable.ts
@@ -170,7 +170,7 @@
     return this.version;
   }
 
-  /** Pools with the version at which the candidates for subsets last changed. */
+  /** Pools with the version at which their candidates for subsets changed. */
   listPools(): ReadonlyMap<string, {readonly version: number}> {
     return this.pools;
   }
--- a/src/control/recentRules.ts
+++ b/src/control/recentRules.ts
@@ -30,7 +30,7 @@
 
   /**
    * The difference from a revision to the current file. Undefined when the
-   * revision is no longer kept or the whole file is not longer.
+   * revision is no longer kept or the difference is not shorter than the file.
    */
   diffFrom(revision: number): RuleDiff | undefined {
     const known = this.diffs.get(revision);
--- a/src/control/state/command.ts
+++ b/src/control/state/command.ts
@@ -126,7 +126,7 @@
   | ZoneCommand
   | NoopCommand;
 
-/** Result of a settlement; `ignored` when the claim cannot be settled by it. */
+/** Result of a settlement; `ignored` if the attempt is not open for it. */
 export type SettleResult =
   {readonly kind: 'settled'} | {readonly kind: 'ignored'};
 
