--- a/tests/capacityAnnounced.spec.ts
+++ b/tests/capacityAnnounced.spec.ts
@@ -3,7 +3,7 @@
 import {AnnouncedTo} from '../src/sync/announced';
 import {ANNOUNCED} from './fixtures/announced';
 
-function answerOf(change: Partial<PollAnswer> = {}): PollAnswer {
+function replyOf(change: Partial<PollAnswer> = {}): PollAnswer {
   return {
     instanceId: 'control-0',
     bootId: 'control-boot-1',
@@ -16,70 +16,73 @@
   };
 }
 
-/** An instance that holds announcement 1. */
-function holdsOne(): AnnouncedTo {
+/** State towards an instance that has acknowledged announcement 1. */
+function afterFirstReply(): AnnouncedTo {
   const announced = new AnnouncedTo();
-  announced.answered(announced.next(ANNOUNCED), answerOf());
+  announced.answered(announced.next(ANNOUNCED), replyOf());
   return announced;
 }
 
-describe('announcements by number', () => {
-  it('should send only the number of an announcement that the instance holds', () => {
-    const {part} = holdsOne().next({...ANNOUNCED, seq: 2, loadAgeMs: 5});
+describe('announcements sent by sequence number', () => {
+  it('should send only the number when the instance has the announcement', () => {
+    const {part} = afterFirstReply().next({...ANNOUNCED, seq: 2, loadAgeMs: 5});
     expect(part).toEqual({
       unchanged: {targetId: 'planner-0', agentBootId: 'boot-1', seq: 2},
     });
   });
 
   it.each([
-    ['it says something new', (_: AnnouncedTo) => ({outstanding: 1})],
-    ['an answer was lost', (to: AnnouncedTo) => void to.lost()],
+    [
+      'a field other than the number changed',
+      (_: AnnouncedTo) => ({outstanding: 1}),
+    ],
+    ['a reply was lost', (to: AnnouncedTo) => void to.lost()],
     [
       'the instance restarted',
       (to: AnnouncedTo) =>
         void to.answered(
           to.next({...ANNOUNCED, seq: 2}),
-          answerOf({bootId: 'control-boot-2'})
+          replyOf({bootId: 'control-boot-2'})
         ),
     ],
     [
-      'the instance says nothing of the short form',
+      'the instance does not support the short form',
       (to: AnnouncedTo) =>
         void to.answered(
           to.next({...ANNOUNCED, seq: 2}),
-          answerOf({announceAgain: undefined})
+          replyOf({announceAgain: undefined})
         ),
     ],
     [
-      'the instance asked for it',
+      'the instance requested it',
       (to: AnnouncedTo) =>
         void to.answered(
           to.next({...ANNOUNCED, seq: 2}),
-          answerOf({announceAgain: true})
+          replyOf({announceAgain: true})
         ),
     ],
-  ])('should send it whole when %s', (_, happen) => {
-    const announced = holdsOne();
-    const change = happen(announced) ?? {};
+  ])('should send the whole announcement when %s', (_, act) => {
+    const announced = afterFirstReply();
+    const change = act(announced) ?? {};
     const {part} = announced.next({...ANNOUNCED, seq: 3, ...change});
     expect(part).toEqual({announcement: {...ANNOUNCED, seq: 3, ...change}});
   });
 
-  it('should send it whole after answers that came in reverse', () => {
-    // A target turns busy and idle again. The poll that says idle is asked
-    // first and answered last: taken as the newest, it would leave the
-    // instance with "busy" confirmed for good.
-    const announced = holdsOne();
+  it('should send the whole announcement after replies out of order', () => {
+    // A target is idle, then busy, then idle again. The reply to the first poll
+    // arrives last. If it counted as the newest, the agent would send only
+    // numbers from then on, and the instance would keep "busy" for good.
+    const announced = afterFirstReply();
     const idle = announced.next({...ANNOUNCED, seq: 2});
     const busy = announced.next({...ANNOUNCED, seq: 3, outstanding: 9});
-    announced.answered(busy, answerOf());
-    announced.answered(idle, answerOf());
+    announced.answered(busy, replyOf());
+    announced.answered(idle, replyOf());
     const {part} = announced.next({...ANNOUNCED, seq: 4});
     expect(part.announcement).toMatchObject({seq: 4, outstanding: 0});
   });
 });
 
-describe('an instance told that nothing changed', () => {
+describe('a member table that receives an unchanged announcement', () => {
   const request = {
     processId: 'agent-0',
     role: 'agent',
@@ -89,7 +92,7 @@
   } as const;
   const unchanged = {targetId: 'planner-0', agentBootId: 'boot-1', seq: 2};
 
-  it('should go on listing the target', () => {
+  it('should keep the target listed', () => {
     const table = new MemberTable();
     table.heard({...request, announcement: ANNOUNCED}, 0);
     expect(table.heard({...request, unchanged}, 2_900)).toBe(true);
@@ -98,9 +101,9 @@
   });
 
   it.each([
-    ['it dropped for silence', unchanged],
-    ['of another boot', {...unchanged, agentBootId: 'boot-0'}],
-  ])('should ask again for a target %s', (_, part) => {
+    ['that was removed', unchanged],
+    ['that has another boot', {...unchanged, agentBootId: 'boot-0'}],
+  ])('should request the whole announcement of a target %s', (_, part) => {
     const table = new MemberTable();
     table.heard({...request, announcement: ANNOUNCED}, 0);
     if (part === unchanged) table.expire(3_001);
--- a/tests/capacityUsage.spec.ts
+++ b/tests/capacityUsage.spec.ts
@@ -5,29 +5,29 @@
 import {UsageCounter} from '../src/entry/usageCounter';
 import {UsageTo} from '../src/sync/usageReports';
 
-const BOOTS = 4_097;
+const BOOT_COUNT = 4_097;
 
 /** Every boot reports one request. */
-function reportAll(state: UsageState): void {
-  for (let i = 0; i < BOOTS; i++) {
+function applyReports(state: UsageState): void {
+  for (let i = 0; i < BOOT_COUNT; i++) {
     const totals = [{customer: 'harbour', requests: 1, tokens: 2, queueMs: 0}];
     state.apply({kind: 'usage', entryBootId: `boot-${i}`, totals});
   }
 }
 
-describe('use by customer', () => {
-  it('should count each boot once when a new leader reports all of them again', () => {
-    // Entries restart over weeks, and each control instance has heard of all
-    // their boots. The leader is lost, and the next one logs every boot that it
-    // has heard of: customers would be charged twice for those in the sum.
+describe('usage by customer', () => {
+  it('should count each boot once when a new leader logs all of them again', () => {
+    // Entries restart over weeks and report all their boots to each control
+    // instance. The leader is lost and the next one logs every boot that it
+    // knows. Customers would be billed twice for boots already in the sum.
     const state = new UsageState();
-    reportAll(state);
+    applyReports(state);
     const restored = new UsageState();
     restored.restore(state.snapshot());
     for (const one of [state, restored]) {
-      reportAll(one);
+      applyReports(one);
       expect(one.totals()).toMatchObject([
-        {requests: BOOTS, tokens: 2 * BOOTS},
+        {requests: BOOT_COUNT, tokens: 2 * BOOT_COUNT},
       ]);
     }
   });
@@ -35,11 +35,11 @@
 
 const STEPS = 120;
 const SEEDS = Array.from({length: 40}, (_, seed) => seed);
-/** Long enough for a silent boot to be forgotten. */
+/** Long enough for a boot that stopped reporting to be dropped. */
 const SILENCE_MS = 61_000;
 
-/** One entry before three instances of control, which share one log. */
-class Charged {
+/** One entry that reports to three control instances with a common log. */
+class BillingFixture {
   readonly counter = new UsageCounter();
   readonly log = new UsageState();
   private readonly sent = [0, 1, 2].map(() => new UsageTo());
@@ -55,7 +55,7 @@
     this.tables[i] = new UsageTable(this.log);
   }
 
-  /** Parts of the poll that arrive: neither, the request, or the answer too. */
+  /** Which part of the poll arrives: nothing, the request, or both. */
   report(arrives: 'nothing' | 'request' | 'answer'): void {
     const to = this.sent[this.leader]!;
     const report = to.due(this.counter.report(), this.nowMs);
@@ -67,44 +67,44 @@
       to.answered(report, {usageAgain: !held} as PollAnswer);
   }
 
-  logUse(): void {
+  logUsage(): void {
     for (const report of this.tables[this.leader]!.listUnlogged(this.nowMs))
       this.log.apply({kind: 'usage', ...report});
   }
 
-  get charged(): readonly CustomerUsage[] {
+  get billed(): readonly CustomerUsage[] {
     return this.log.totals();
   }
 }
 
-function step(world: Charged, random: SeededRandom): void {
+function step(fixture: BillingFixture, random: SeededRandom): void {
   const customer = `customer-${random.int(0, 3)}`;
   switch (random.int(0, 6)) {
     case 0:
     case 1:
-      return world.counter.add(customer, {requests: 1, tokens: 5});
+      return fixture.counter.add(customer, {requests: 1, tokens: 5});
     case 2:
     case 3:
-      world.wait(5_000);
-      return world.report(
+      fixture.wait(5_000);
+      return fixture.report(
         random.pick(['nothing', 'request', 'answer', 'answer'] as const)
       );
     case 4:
-      return world.logUse();
+      return fixture.logUsage();
     case 5:
-      world.leader = random.int(0, 2);
+      fixture.leader = random.int(0, 2);
       return;
     default:
-      if (random.int(0, 1) === 0) return world.restart(random.int(0, 2));
-      world.wait(SILENCE_MS);
-      return world.logUse();
+      if (random.int(0, 1) === 0) return fixture.restart(random.int(0, 2));
+      fixture.wait(SILENCE_MS);
+      return fixture.logUsage();
   }
 }
 
-describe('changed rows of use, to the leader alone', () => {
-  // With every row in each report an entry of 200 customers would send 10 KB/s
-  // for use alone, and nothing but the bytes would show it.
-  it('should tell of the customers that called since, and of no other', () => {
+describe('usage reports with changed rows, sent to the leader only', () => {
+  // With every row in each report an entry with 200 customers would send 10
+  // KB/s for usage alone, which only the traffic would show.
+  it('should report only customers with new calls', () => {
     const counter = new UsageCounter();
     const to = new UsageTo();
     counter.add('harbour', {requests: 1});
@@ -120,49 +120,49 @@
     expect(second.rows).toHaveLength(1);
   });
 
-  it.each(SEEDS)('should be charged once each, seed %i', seed => {
-    // Answers are lost, leaders change, instances restart and forget boots
-    // that are silent. Customers would be charged for less when a part of the
-    // rows stood for all of them, or when rows that only a lost leader had
-    // heard of were taken for told.
+  it.each(SEEDS)('should bill each call once, seed %i', seed => {
+    // Replies are lost, leaders change, instances restart and drop boots that
+    // stopped reporting. Customers would be billed for too little if a partial
+    // report counted as all rows of a boot, or if the entry regarded rows as
+    // delivered that only a lost leader had received.
     const random = new SeededRandom(seed);
-    const world = new Charged();
-    const used = () => world.counter.report();
+    const fixture = new BillingFixture();
+    const reported = () => fixture.counter.report();
     const sum = (rows: readonly CustomerUsage[]) =>
       rows.reduce((total, {requests}) => total + requests, 0);
     for (let i = 0; i < STEPS; i++) {
-      step(world, random);
-      expect(sum(world.charged)).toBeLessThanOrEqual(sum(used()));
+      step(fixture, random);
+      expect(sum(fixture.billed)).toBeLessThanOrEqual(sum(reported()));
     }
-    // A part that the instance cannot take is followed by the whole.
+    // After a partial report is rejected, the entry sends all rows.
     for (let i = 0; i < 2; i++) {
-      world.wait(5_000);
-      world.report('answer');
+      fixture.wait(5_000);
+      fixture.report('answer');
     }
-    world.logUse();
+    fixture.logUsage();
     const sorted = (rows: readonly CustomerUsage[]) =>
       [...rows].sort((a, b) => a.customer.localeCompare(b.customer));
-    expect(sorted(world.charged)).toEqual(sorted(used()));
+    expect(sorted(fixture.billed)).toEqual(sorted(reported()));
   });
 });
 
-describe('use that a control instance keeps', () => {
+describe('usage table of a control instance', () => {
   const row = {customer: 'harbour', requests: 3, tokens: 9, queueMs: 0};
 
-  it('should be forgotten once it is logged and its entry is silent', () => {
+  it('should drop a boot once its usage is logged and it stopped reporting', () => {
     const log = new UsageState();
     const table = new UsageTable(log);
     table.report('boot-1', [row], false, 0);
     const [report] = table.listUnlogged(SILENCE_MS);
     expect(report).toEqual({entryBootId: 'boot-1', totals: [row]});
-    // The proposal failed: nothing is in the log yet.
+    // The proposal failed, so the log does not hold the totals yet.
     expect(table.listUnlogged(SILENCE_MS)).toEqual([report]);
     log.apply({kind: 'usage', ...report!});
     expect(table.listUnlogged(SILENCE_MS)).toEqual([]);
     expect(table.report('boot-1', [row], true, SILENCE_MS)).toBe(false);
   });
 
-  it('should not go back by a report that comes late', () => {
+  it('should not decrease totals by a late report', () => {
     const log = new UsageState();
     const table = new UsageTable(log);
     table.report('boot-1', [row], false, 0);
--- a/tests/claims.spec.ts
+++ b/tests/claims.spec.ts
@@ -7,7 +7,7 @@
 import type {ClaimCommand, SettleCommand} from '../src/control/state/command';
 
 const START_MS = Date.UTC(2026, 2, 1);
-const ANSWER = {status: 201, headers: [], bodyBase64: 'e30='};
+const RESPONSE = {status: 201, headers: [], bodyBase64: 'e30='};
 
 const claim = (
   key: string,
@@ -37,21 +37,21 @@
   settlement,
 });
 
-describe('claims of keys', () => {
+describe('claims of idempotency keys', () => {
   let claims: ClaimState;
 
   beforeEach(() => {
     claims = new ClaimState();
   });
 
-  it('should grant a key once and give a resend the recorded answer', () => {
+  it('should grant a key once and return the recorded response to a resend', () => {
     expect(claims.claim(claim('k')).kind).toBe('granted');
     expect(claims.claim(claim('k', {requestId: 'request-2'})).kind).toBe(
       'pending'
     );
-    claims.settle(settle('k', {kind: 'answered', answer: ANSWER}));
+    claims.settle(settle('k', {kind: 'answered', answer: RESPONSE}));
     const resent = claims.claim(claim('k', {requestId: 'request-3'}));
-    expect(resent).toEqual({kind: 'recorded', answer: ANSWER});
+    expect(resent).toEqual({kind: 'recorded', answer: RESPONSE});
   });
 
   it('should refuse another body under the same key', () => {
@@ -68,37 +68,38 @@
     });
   });
 
-  // A second box gets the socket: the answer of attempt 1 is recorded, then a
-  // late "not run" of a resend that had asked earlier would free the key.
+  // The call would run twice: the response of attempt 1 is recorded, and then a
+  // resend that queried the agent earlier settles the key late as "not run",
+  // which would free it.
   it('should keep what was settled first', () => {
     claims.claim(claim('k'));
-    claims.settle(settle('k', {kind: 'answered', answer: ANSWER}));
+    claims.settle(settle('k', {kind: 'answered', answer: RESPONSE}));
     expect(claims.settle(settle('k', {kind: 'not run'})).kind).toBe('ignored');
     expect(claims.claim(claim('k', {requestId: 'request-2'})).kind).toBe(
       'recorded'
     );
   });
 
-  it('should take an answer that is found after "unknown"', () => {
+  it('should record a response that is found after "unknown"', () => {
     claims.claim(claim('k'));
     claims.settle(settle('k', {kind: 'unknown'}));
     expect(claims.claim(claim('k', {requestId: 'request-2'})).kind).toBe(
       'unknown'
     );
-    claims.settle(settle('k', {kind: 'answered', answer: ANSWER}));
+    claims.settle(settle('k', {kind: 'answered', answer: RESPONSE}));
     expect(claims.claim(claim('k', {requestId: 'request-3'})).kind).toBe(
       'recorded'
     );
   });
 
-  // The record is bounded: a day later it is pruned, and a caller that resends
-  // a key of yesterday must not get a second run for it.
+  // Records are bounded and pruned after a day. A caller that resends a key
+  // from the day before must not cause a second run.
   it.each([
-    ['with a time of its own', uuidv7({msecs: START_MS})],
-    ['without one', 'box 7 socket 12'],
+    ['with a timestamp', uuidv7({msecs: START_MS})],
+    ['without a timestamp', 'box 7 socket 12'],
   ])('should never run an old key again, %s', (_, key) => {
     claims.claim(claim(key));
-    claims.settle(settle(key, {kind: 'answered', answer: ANSWER}));
+    claims.settle(settle(key, {kind: 'answered', answer: RESPONSE}));
     const later = START_MS + KEY_RETENTION_MS + 1;
     claims.claim(claim('other', {atMs: later, requestId: 'request-2'}));
     const resent = claims.claim(
@@ -107,7 +108,7 @@
     expect(resent.kind).toBe('expired');
   });
 
-  it('should be the same after a snapshot', () => {
+  it('should restore claims from a snapshot', () => {
     claims.claim(claim('k'));
     const restored = new ClaimState();
     restored.restore(JSON.parse(JSON.stringify(claims.snapshot())));
@@ -116,7 +117,7 @@
     );
   });
 
-  it('should read the time of a version 7 UUID only', () => {
+  it('should read the timestamp of version 7 UUIDs only', () => {
     expect(keyTimeMs(uuidv7({msecs: START_MS}))).toBe(START_MS);
     expect(keyTimeMs('b7e2f6a0-6c1e-4d0e-9b1a-3f2d1c0b9a88')).toBeUndefined();
   });
--- a/tests/fleetMachine.spec.ts
+++ b/tests/fleetMachine.spec.ts
@@ -10,14 +10,14 @@
   return {targetId, model: 'llama', version: 'v2', rule: 'serve llama'};
 }
 
-/** One control instance on the log that all of them share. */
-class Instance {
+/** A control instance; all instances of a test share one replicated state. */
+class ControlFixture {
   readonly sent: Extract<FleetAction, {kind: 'send'}>[] = [];
   readonly machine: FleetMachine;
-  /** Proposals whose answer was lost on the way. */
-  answersLost = false;
-  /** Proposals that have not reached the log yet. */
-  held: Extract<FleetAction, {kind: 'propose'}>[] | undefined;
+  /** Whether replies to proposals are lost. */
+  repliesLost = false;
+  /** Proposals that have not reached the log yet; not delayed if undefined. */
+  heldProposals: Extract<FleetAction, {kind: 'propose'}>[] | undefined;
   nowMs = 0;
 
   constructor(
@@ -47,22 +47,23 @@
     return this;
   }
 
-  /** The agent of the last order sent answers. */
+  /** Delivers a reply of the agent to the last order sent. */
   answer(answer: ModelOrderAnswer): this {
     const {targetId, order} = this.sent.at(-1)!;
     return this.handle({kind: 'answer', targetId, order, answer});
   }
 
-  release(): void {
-    const late = this.held ?? [];
-    this.held = undefined;
+  releaseProposals(): void {
+    const late = this.heldProposals ?? [];
+    this.heldProposals = undefined;
     late.forEach(action => this.carryOut(action));
   }
 
   private carryOut(action: FleetAction): void {
     if (action.kind === 'send') return void this.sent.push(action);
     if (action.kind === 'read') return this.read(action.seq);
-    if (this.held !== undefined) return void this.held.push(action);
+    if (this.heldProposals !== undefined)
+      return void this.heldProposals.push(action);
     const {command} = action;
     if (command.kind === 'fleetFence') {
       const {fence} = this.state.applyFence(command);
@@ -72,7 +73,7 @@
       command.kind === 'fleetOrder'
         ? this.state.applyOrder(command)
         : this.state.applyEnd(command);
-    if (this.answersLost) return;
+    if (this.repliesLost) return;
     const open = this.state.open();
     this.handle({kind: 'recorded', command, result, open});
   }
@@ -84,13 +85,13 @@
 }
 
 let state: FleetState;
-let first: Instance;
-let second: Instance;
+let first: ControlFixture;
+let second: ControlFixture;
 
 beforeEach(() => {
   state = new FleetState();
-  first = new Instance(state, 'c1');
-  second = new Instance(state, 'c2');
+  first = new ControlFixture(state, 'c1');
+  second = new ControlFixture(state, 'c2');
 });
 
 const plan = (...targets: readonly string[]): FleetEvent => ({
@@ -98,8 +99,8 @@
   changes: targets.map(change),
 });
 
-describe('orders for models by the leader', () => {
-  it('should record an order, send it until it ended, and record the end', () => {
+describe('model orders of the leader', () => {
+  it('should record an order, resend it until it ends, and record the outcome', () => {
     first.lead().handle(plan('t1'));
     first.tick();
     expect(first.sent).toHaveLength(2);
@@ -110,15 +111,15 @@
     expect(first.machine.idle).toBe(true);
   });
 
-  it('should take no fence while nothing is wanted', () => {
+  it('should request no fence while no orders are needed', () => {
     first.handle({kind: 'lead'});
     first.handle({kind: 'tick', wanted: false});
     expect(state.fence).toBe(0);
   });
 
-  // The leader dies between order and answer. The target may be changing, so
-  // the next leader must neither forget it nor give it another order.
-  it('should take over what is under way, under a newer fence', () => {
+  // The leader dies between order and reply. The target may be loading, so the
+  // next leader must neither lose the order nor send the target another one.
+  it('should take over open orders under a newer fence', () => {
     first.lead().handle(plan('t1'));
     second.lead();
     expect(second.sent).toEqual([
@@ -128,19 +129,21 @@
     expect(state.open()).toEqual([]);
   });
 
-  // The old leader was cut off with an order proposed. Recorded after the new
-  // leader has planned, it would take a second target from the same model.
-  it('should not send what was not recorded in time', () => {
+  // The old leader is partitioned with an order proposed. If it were recorded
+  // after the new leader has planned, a second target would be taken from the
+  // same model.
+  it('should not send an order that was not recorded in time', () => {
     first.lead();
-    first.held = [];
+    first.heldProposals = [];
     first.handle(plan('t1'));
     second.lead();
-    first.release();
+    first.releaseProposals();
     expect(first.sent).toEqual([]);
     expect(state.open()).toEqual([]);
   });
 
-  // The old leader hears the end of an order that the new one has sent again.
+  // The old leader receives the outcome of an order that the new leader has
+  // sent again.
   it('should not end an order under an old fence', () => {
     first.lead().handle(plan('t1'));
     second.lead();
@@ -149,25 +152,25 @@
     expect(state.failuresOf('serve llama')).toBe(0);
   });
 
-  // The log's answer is lost. A new proposal in its place could count as well,
-  // and two targets would change where one was planned.
-  it('should propose the same again until it is answered', () => {
-    first.lead().answersLost = true;
+  // The reply of the log is lost. If another order were proposed instead, both
+  // could be recorded, and two targets would change where one was planned.
+  it('should repeat the same proposal until it gets a reply', () => {
+    first.lead().repliesLost = true;
     first.handle(plan('t1')).handle(plan('t2'));
-    first.answersLost = false;
+    first.repliesLost = false;
     first.tick();
     expect(state.open()).toMatchObject([{targetId: 't1'}]);
     expect(first.sent).toHaveLength(1);
   });
 
-  it('should take a newer fence when an agent knows one', () => {
+  it('should request a newer fence when an agent knows one', () => {
     first.lead().handle(plan('t1'));
     state.applyFence({kind: 'fleetFence', holder: 'c2'});
     first.answer({kind: 'fenced', highestFence: 2});
     expect(first.sent.at(-1)?.order.fence).toBe(3);
   });
 
-  it('should count failures in a row by rule, over a restart', () => {
+  it('should count consecutive failures by rule across a restart', () => {
     first.lead();
     for (const target of ['t1', 't2'])
       first.handle(plan(target)).answer({kind: 'failed', detail: ''});
--- a/tests/fleetViews.spec.ts
+++ b/tests/fleetViews.spec.ts
@@ -10,7 +10,7 @@
 zone zone-b out # asked by Aoife
 serve planner llama version=v2 min=1 max=8 # asked by Una
 `;
-const HELD = {model: 'llama', modelVersion: 'v2'};
+const SERVED_MODEL = {model: 'llama', modelVersion: 'v2'};
 
 function rules(): RuleIndex {
   const parsed = parseRules(RULES);
@@ -21,7 +21,7 @@
 function view(state: FleetState, ...changes: Partial<Announcement>[]) {
   const targets = changes.map((change, index) => ({
     ...ANNOUNCED,
-    ...HELD,
+    ...SERVED_MODEL,
     targetId: `t${index}`,
     ...change,
   }));
@@ -33,18 +33,19 @@
   });
 }
 
-describe('view of the decision on models', () => {
+describe('input of model planning', () => {
   it.each<[string, Partial<Announcement>]>([
     ['leaves', {state: 'leaving'}],
-    ['may run nothing', {limit: 0}],
-    ['stands in a zone that is out', {availabilityZone: 'zone-b'}],
+    ['has a limit of 0', {limit: 0}],
+    ['is in a zone out of service', {availabilityZone: 'zone-b'}],
   ])('should not count a target that %s as serving', (_, change) => {
     const {targets} = view(new FleetState(), {}, change);
     expect(targets.map(({serving}) => serving)).toEqual([true, false]);
   });
 
-  // All ranks of a group hold one model. Ordered alone, a rank would stop the
-  // steps of all; and its engine knows the numbers of map orders.
+  // All ranks of a group hold one model. An order to a single rank would stop
+  // the passes of all of them, and its engine already numbers orders by map
+  // version.
   it('should leave out ranks of a group and targets of other pools', () => {
     const group = {id: 'g', rank: 0, ranks: 2, experts: 2, slots: 2};
     const seen = view(new FleetState(), {}, {group}, {pool: 'other'});
--- a/tests/mapControllers.spec.ts
+++ b/tests/mapControllers.spec.ts
@@ -31,7 +31,7 @@
 const FLAT = Array.from({length: EXPERTS}, () => 100);
 const ZIPF = Array.from({length: EXPERTS}, (_, i) => 1000 / (i + 1));
 
-/** A group in lock-step with its agents, one control instance and its log. */
+/** A lock-step group with its agents, one control instance and its log. */
 class GroupFixture {
   readonly engines = Array.from(
     {length: RANKS},
@@ -46,7 +46,7 @@
   storeUp = true;
   storeHangs = false;
   loadsArrive = true;
-  permitted = true;
+  rebalanceEnabled = true;
   counts: readonly number[] = FLAT;
   private agentBootId = 'boot-1';
   private seq = 0;
@@ -84,7 +84,7 @@
           this.agents[rank]?.receive(message);
         },
       },
-      () => ({on: this.permitted, minGain: 0}),
+      () => ({on: this.rebalanceEnabled, minGain: 0}),
       this.metrics,
       logger
     );
@@ -143,7 +143,7 @@
     return value;
   }
 
-  /** Runs the group for a time; every rank reports once a second. */
+  /** Runs the group for a time; every rank reports about once per second. */
   async run(ms: number): Promise<void> {
     for (let at = 0; at < ms; at += STEP_MS) {
       await jest.advanceTimersByTimeAsync(STEP_MS);
@@ -153,13 +153,13 @@
   }
 
   private step(): void {
-    const least = Math.min(...this.engines.map(engine => engine.step));
+    const minStep = Math.min(...this.engines.map(engine => engine.step));
     if (!this.engines.every(engine => engine.up && engine.running)) return;
-    for (const engine of this.engines.filter(e => e.step === least)) {
+    for (const engine of this.engines.filter(e => e.step === minStep)) {
       const version = engine.runStep();
       if (version === undefined) continue;
-      const seen = this.versions.get(least) ?? new Set<number>();
-      this.versions.set(least, seen.add(version));
+      const seen = this.versions.get(minStep) ?? new Set<number>();
+      this.versions.set(minStep, seen.add(version));
     }
   }
 
@@ -178,7 +178,7 @@
     );
   }
 
-  /** Every rank asks what is in force, as after a start of its agent. */
+  /** Every rank asks for the active map, as after a restart of its agent. */
   joinAll(): void {
     this.engines.forEach((_, rank) => {
       const attempt = `again-${rank}`;
@@ -186,7 +186,7 @@
     });
   }
 
-  /** Agents that restart count their reports from 1 again. */
+  /** Restarted agents number their reports from 1 again. */
   restartReports(): void {
     this.agentBootId = 'boot-2';
     this.seq = 0;
@@ -196,7 +196,7 @@
     return this.state.group(GROUP).current;
   }
 
-  /** Steps that ran with more than one map. */
+  /** Number of passes that ran with more than one map. */
   get mixedSteps(): number {
     return [...this.versions.values()].filter(seen => seen.size > 1).length;
   }
@@ -239,8 +239,8 @@
     expect(group.mixedSteps).toBe(0);
   });
 
-  it('should leave the map alone while rules do not permit a rebalance', async () => {
-    group.permitted = false;
+  it('should not change the map while rules do not enable rebalancing', async () => {
+    group.rebalanceEnabled = false;
     await group.run(3000);
     const first = group.current?.version;
     group.counts = ZIPF;
@@ -249,9 +249,9 @@
     expect(group.current?.version).toBe(first);
   });
 
-  // The engine of one rank restarts amid switches and stands without a map.
-  // Its agent asks control again, and the group goes on where it stood.
-  it('should bring back a rank whose engine restarts', async () => {
+  // The engine of one rank restarts during switches and has no map. Its agent
+  // asks control for it again and the group continues.
+  it('should restore a rank whose engine restarts', async () => {
     await group.run(3000);
     group.counts = ZIPF;
     await group.run(3000);
@@ -262,9 +262,9 @@
     expect(group.mixedSteps).toBe(0);
   });
 
-  // Steps grow slower and slower after all agents were restarted, as popularity
-  // moves on: their reports are numbered from 1 again, below those of the last
-  // boot, and the controller must not take them for old ones.
+  // Passes become slower and slower after all agents were restarted while the
+  // popularity changes: their reports are numbered from 1 again, below those of
+  // the previous boot, and the controller must not ignore them as old.
   it('should follow the reports of agents that restarted', async () => {
     await group.run(6000);
     group.restartReports();
@@ -273,10 +273,10 @@
     expect(group.staged.length).toBeGreaterThan(0);
   });
 
-  // Steps stay slow for half a minute after an agent dies: the orders to load
-  // that it had in hand died with it, and the planner, which makes one batch at
-  // a time, waits for them. A rank that joins again shows that they are lost.
-  it('should plan anew when a rank with orders in hand restarts', async () => {
+  // Passes stay slow for half a minute after an agent dies: its load orders are
+  // lost with it, and the planner, which plans one batch at a time, waits for
+  // them. A rank that joins again shows that they are lost.
+  it('should plan again when a rank with open load orders restarts', async () => {
     await group.run(3000);
     group.loadsArrive = false;
     group.counts = ZIPF;
@@ -287,9 +287,9 @@
     expect(group.staged.length).toBeGreaterThan(0);
   });
 
-  // Every caller of the group waits while one rank loads weights, if the order
-  // to hold or to switch stands behind that load: the others are at the switch
-  // step by then. A change of the split alone must go through meanwhile.
+  // Every caller of the group would wait while one rank loads weights if the
+  // order to hold or to switch were queued behind that load, since the other
+  // ranks hold before the switch. A change of the shares alone must not wait.
   it('should switch maps while weights are loading', async () => {
     await group.run(3000);
     const first = group.current?.version ?? 0;
@@ -300,9 +300,9 @@
     expect(group.mixedSteps).toBe(0);
   });
 
-  // The log loses its quorum: nothing can be decided, so nothing is told, and
-  // a rank at its barrier waits. With the quorum back the group goes on.
-  it('should wait without a quorum and go on with it', async () => {
+  // The log loses its quorum: no decision can be made or sent, and a rank that
+  // holds before the switch waits. The group continues when the quorum is back.
+  it('should wait without a quorum and continue with it', async () => {
     await group.run(3000);
     group.counts = ZIPF;
     group.logUp = false;
@@ -314,7 +314,7 @@
     expect(group.mixedSteps).toBe(0);
   });
 
-  it('should keep the slots while the weight store refuses', async () => {
+  it('should keep the slots while the weight store fails', async () => {
     await group.run(3000);
     const slots = group.current?.map.slots;
     group.storeUp = false;
@@ -324,7 +324,7 @@
     expect(group.mixedSteps).toBe(0);
   });
 
-  it('should do nothing more once another instance leads', async () => {
+  it('should do nothing once another instance leads', async () => {
     await group.run(3000);
     group.status$.next({...LEADER, role: 'follower'});
     group.counts = ZIPF;
--- a/tests/mapFixtures.ts
+++ b/tests/mapFixtures.ts
@@ -1,4 +1,4 @@
-/** Messages and short names for the specs of map switches. */
+/** Messages and helpers for the tests of map switches. */
 
 import type {RankAction} from '../src/agent/maps/rankSwitchEvents';
 import type {SwitchAction} from '../src/control/maps/mapSwitchEvents';
@@ -7,12 +7,12 @@
 
 /** A map of one expert on one rank. */
 export const MAP: ExpertMap = {slots: [[0]], shares: [[1]]};
-/** The group of all messages here. */
+/** Group of all messages. */
 export const GROUP = 'g';
-/** The nth version under a fence. */
+/** The nth map version under a fence. */
 export const V = (fence: number, nth: number) => versionOf(fence, nth);
 
-/** An order to prepare for step 20. */
+/** A prepare message for a switch at pass 20. */
 export function prepare(fence: number, nth: number): PrepareMessage {
   const version = V(fence, nth);
   return {
@@ -25,7 +25,7 @@
   };
 }
 
-/** What was decided. */
+/** A decision message. */
 export function decision(fence: number, nth: number, what: 'commit' | 'abort') {
   const version = V(fence, nth);
   return {
@@ -37,7 +37,7 @@
   } as const;
 }
 
-/** A short name of each action, for tables. */
+/** Short names of actions: message kind or refusal reason of sends. */
 export function names(
   actions: readonly (RankAction | SwitchAction)[]
 ): string[] {
--- a/tests/mapSwitch.spec.ts
+++ b/tests/mapSwitch.spec.ts
@@ -25,13 +25,17 @@
   proposed: MapDecisionCommand[] = [];
   reads: number[] = [];
 
-  /** Handles an event; the log answers at once unless `lose` says otherwise. */
-  event(event: Parameters<MapSwitch['handle']>[0], nowMs = 0, lose = false) {
+  /** Handles an event; the log replies at once unless `loseReplies` is set. */
+  event(
+    event: Parameters<MapSwitch['handle']>[0],
+    nowMs = 0,
+    loseReplies = false
+  ) {
     const actions = this.machine.handle(event, nowMs);
     this.sent.push(...actions.filter(action => action.kind === 'send'));
     for (const action of actions)
       if (action.kind === 'read') this.reads.push(action.seq);
-    for (const action of actions) if (!lose) this.answer(action, nowMs);
+    for (const action of actions) if (!loseReplies) this.answer(action, nowMs);
     return names(actions);
   }
 
@@ -53,11 +57,15 @@
     this.event({kind: 'decided', version, result}, nowMs);
   }
 
-  promise(rank: number, nth: number, lose = false) {
+  promise(rank: number, nth: number, loseReplies = false) {
     const fence = 1;
     const version = V(fence, nth);
     const message = {kind: 'promise', group: GROUP, fence, version, rank};
-    return this.event({kind: 'message', message: message as never}, 0, lose);
+    return this.event(
+      {kind: 'message', message: message as never},
+      0,
+      loseReplies
+    );
   }
 
   refuse(reason: string, nth: number) {
@@ -75,12 +83,12 @@
     return this.event({kind: 'message', message: message as never});
   }
 
-  join(attempt: string, lose = false) {
+  join(attempt: string, loseReplies = false) {
     const message = {kind: 'join', group: GROUP, rank: 0, attempt} as const;
-    return this.event({kind: 'message', message}, 0, lose);
+    return this.event({kind: 'message', message}, 0, loseReplies);
   }
 
-  /** Leads, holds fence 1, has decided the first map. */
+  /** A leader with fence 1 that has committed the first map. */
   static leading(): ControllerFixture {
     const fixture = new ControllerFixture();
     fixture.event({kind: 'lead'});
@@ -109,10 +117,10 @@
     });
   });
 
-  // The controller dies between the decision and its telling, or the log loses
-  // the answer. A rank that had been told would switch alone if the decision
-  // turned out not to be recorded.
-  it('should tell nobody before the decision is recorded', () => {
+  // The controller dies before it sends the decision, or the reply of the log
+  // is lost. A rank that received the decision earlier would switch alone if
+  // the decision turned out not to be recorded.
+  it('should send no decision before it is recorded', () => {
     const control = ControllerFixture.preparing();
     control.promise(0, 2);
     control.promise(1, 2, true);
@@ -140,7 +148,7 @@
     expect(decided).toBe(expected);
   });
 
-  it('should abort after the timeout and choose a later step next time', () => {
+  it('should abort after the timeout and choose a later pass next time', () => {
     const control = ControllerFixture.preparing();
     control.event({kind: 'tick'}, 100);
     expect(control.proposed.at(-1)?.decision).toBe('abort');
@@ -152,8 +160,8 @@
     ]);
   });
 
-  // A rank restarts after its promise and has forgotten it. If the switch went
-  // on, it would be committed with a rank that does not know of it.
+  // A rank restarts after its promise and has lost it. If the switch continued,
+  // it would be committed although one rank does not know of it.
   it('should decide a pending switch before it answers a rank that joins', () => {
     const control = ControllerFixture.preparing();
     control.promise(0, 2);
@@ -163,9 +171,9 @@
     expect(answers).toEqual(['decision', 'decision', 'joinAnswer']);
   });
 
-  // A read begun before the rank asked shows the map from before a switch in
-  // which the rank took part until it restarted.
-  it('should not answer a join from a read begun before it', () => {
+  // A read that began before the rank joined may return the map from before a
+  // switch that the rank took part in until it restarted.
+  it('should not answer a join from a read that began before it', () => {
     const control = ControllerFixture.leading();
     control.join('a1/0', true);
     const maps = control.state.group(GROUP);
@@ -177,7 +185,7 @@
     expect(names(control.sent)).toEqual(['joinAnswer']);
   });
 
-  it('should take a new fence when another controller has taken one', () => {
+  it('should request a new fence when another controller has one', () => {
     const control = ControllerFixture.preparing();
     const other = {kind: 'fence', group: GROUP, holder: 'c2'} as const;
     control.state.applyFence(other);
@@ -190,7 +198,7 @@
   });
 });
 
-describe('agreed state of expert maps', () => {
+describe('replicated state of expert maps', () => {
   const command = (
     fence: number,
     nth: number,
@@ -227,9 +235,9 @@
     }
   );
 
-  // Ranks that asked after the newer fence were told that the older one's
-  // switch is off; recording its late decision would split the group.
-  it('should not count a decision after a newer fence was given out', () => {
+  // Ranks that queried after the newer fence know the switch of the older one
+  // as aborted. Recording its late decision would split the group.
+  it('should reject a decision after a newer fence', () => {
     const state = new MapState();
     state.applyFence(fence);
     state.applyFence(fence);
@@ -256,7 +264,7 @@
   });
 });
 
-describe('map messages at the edge', () => {
+describe('schemas of map messages', () => {
   it.each([
     ['a prepare', TO_RANK, prepare(1, 1), true],
     [
@@ -272,20 +280,23 @@
       true,
     ],
     ['an unknown kind', FROM_RANK, {kind: 'vote', group: GROUP}, false],
-  ])('should judge %s', (_, schema, message, good) => {
-    expect(schema.safeParse(message).success).toBe(good);
+  ])('should validate %s', (_, schema, message, isValid) => {
+    expect(schema.safeParse(message).success).toBe(isValid);
   });
 });
 
 describe('switches of expert maps under seeded faults', () => {
-  // 1: a further hold replaced one whose step the engine had not yet reached.
-  // 2, 5: joins and new switches kept each other from ending.
-  // 79: a replaced controller went on under its old fence for ever.
-  it.each([1, 2, 5, 79])('should hold for seed %i that once failed', seed => {
-    expect(() => MAP_MODEL.run(seed)).not.toThrow();
-  });
+  // 1: a further hold replaced one whose pass the engine had not reached yet.
+  // 2, 5: joins and new switches prevented each other from ending.
+  // 79: a replaced controller continued under its old fence forever.
+  it.each([1, 2, 5, 79])(
+    'should keep its invariants for seed %i, which once failed',
+    seed => {
+      expect(() => MAP_MODEL.run(seed)).not.toThrow();
+    }
+  );
 
-  it('should hold for 200 seeds', () => {
+  it('should keep its invariants for 200 seeds', () => {
     for (let seed = 1000; seed < 1200; seed++)
       expect(() => MAP_MODEL.run(seed)).not.toThrow();
   });
--- a/tests/members.spec.ts
+++ b/tests/members.spec.ts
@@ -11,31 +11,42 @@
 
 const LEAVING = announce({seq: 5, state: 'leaving'});
 
-// Announcements are late, repeated and out of order. A target that said
-// goodbye, or fell silent, must not be brought back by an old one.
-const ORDERS = [
-  ['an older one after the goodbye', [LEAVING, announce({seq: 4})], 'leaving'],
-  ['a later one of the same boot', [LEAVING, announce({seq: 6})], 'leaving'],
+// Announcements arrive late, repeated and out of order. An old one must not
+// bring back a target that is leaving or was removed.
+const ANNOUNCEMENT_ORDERS = [
   [
-    'one of an earlier boot',
+    'an older announcement after leaving',
+    [LEAVING, announce({seq: 4})],
+    'leaving',
+  ],
+  [
+    'a later announcement of the same boot',
+    [LEAVING, announce({seq: 6})],
+    'leaving',
+  ],
+  [
+    'an announcement of an earlier boot',
     [LEAVING, announce({seq: 9, agentBootId: 'boot-0', agentBootAtMs: 500})],
     'leaving',
   ],
   [
-    'one of the next boot',
+    'an announcement of the next boot',
     [LEAVING, announce({agentBootId: 'boot-2', agentBootAtMs: 2_000})],
     'serving',
   ],
 ] as const;
 
 describe('member table of a control instance', () => {
-  it.each(ORDERS)('should judge %s', (_, announcements, state) => {
-    const table = new MemberTable();
-    for (const one of announcements) table.heard(poll(one), 0);
-    expect(table.listTargets().map(one => one.state)).toEqual([state]);
-  });
+  it.each(ANNOUNCEMENT_ORDERS)(
+    'should resolve %s',
+    (_, announcements, state) => {
+      const table = new MemberTable();
+      for (const one of announcements) table.heard(poll(one), 0);
+      expect(table.listTargets().map(one => one.state)).toEqual([state]);
+    }
+  );
 
-  it('should drop a silent target and not revive it by an old word', () => {
+  it('should remove a silent target and not restore it by an old announcement', () => {
     const table = new MemberTable();
     table.heard(poll(announce({seq: 3})), 0);
     const {version} = table.changesSince(undefined);
@@ -49,17 +60,20 @@
 });
 
 describe('directory of an entry', () => {
-  // Two instances heard different things; the one that is behind must not win,
-  // whichever of them answered last.
-  it.each(ORDERS)('should judge %s', (_, announcements, state) => {
-    for (const order of [announcements, [...announcements].reverse()]) {
-      const directory = new TargetDirectory();
-      order.forEach((one, i) => tell(directory, `control-${i}`, [one]));
-      expect(directory.list().map(one => one.state)).toEqual([state]);
+  // Two instances received different announcements. The older one must not win,
+  // whichever instance replied last.
+  it.each(ANNOUNCEMENT_ORDERS)(
+    'should resolve %s',
+    (_, announcements, state) => {
+      for (const order of [announcements, [...announcements].reverse()]) {
+        const directory = new TargetDirectory();
+        order.forEach((one, i) => tell(directory, `control-${i}`, [one]));
+        expect(directory.list().map(one => one.state)).toEqual([state]);
+      }
     }
-  });
+  );
 
-  it('should drop the view of an instance that fell silent', () => {
+  it('should drop the view of an instance that stopped replying', () => {
     const directory = new TargetDirectory();
     tell(directory, 'control-0', [announce({targetId: 'old'})], 0);
     tell(directory, 'control-1', [announce({targetId: 'new'})], 6_000);
--- a/tests/processes/control.spec.ts
+++ b/tests/processes/control.spec.ts
@@ -17,10 +17,10 @@
     ?.availabilityZone;
 }
 
-describe('control instances that fail', () => {
-  // Operators and callers see a short pause at most: the leader is killed,
-  // the other two elect one of them and hold all that was accepted. A client
-  // that took the silent leader for the whole of control would fail here.
+describe('failures of control instances', () => {
+  // The leader is killed. The other two instances elect a new leader and have
+  // all accepted commands, so operators and callers see a short pause at most.
+  // A client that regards control as down because its leader is would fail.
   it('should lose nothing when the leader is killed', async () => {
     const key = newKey();
     const before = await assign(system.port(0), key, 1);
@@ -36,10 +36,10 @@
     await system.inForce();
   }, 30_000);
 
-  // A zone goes out while the leader is frozen. Woken, it believes for a
-  // moment that it still leads and still has the old rules; an entry that
-  // took them would send work into the zone again.
-  it('should serve no old rules by a leader that was frozen', async () => {
+  // A zone goes out of service while the leader is frozen. When it resumes, it
+  // briefly assumes that it still leads and still has the old rules. An entry
+  // that applied them would send work to the zone again.
+  it('should not apply old rules of a leader that was frozen', async () => {
     const old = await system.leader();
     const frozen = system.deployment.child(old).process;
     frozen.kill('SIGSTOP');
@@ -48,7 +48,7 @@
     await system.inForce();
     frozen.kill('SIGCONT');
     const zones: (string | undefined)[] = [];
-    await eventually('the woken instance is up to date', async () => {
+    await eventually('the resumed instance is up to date', async () => {
       for (const entry of [0, 1]) {
         const {status, target} = await chat(system.port(entry), 'x', 1, false);
         if (status === 200) zones.push(zoneOf(target));
@@ -57,16 +57,16 @@
       expect(processes.every(one => one.heldRevision >= system.revision)).toBe(
         true
       );
-      const woken = instances.find(one => one.instanceId === old);
-      return woken?.role === 'follower';
+      const resumed = instances.find(one => one.instanceId === old);
+      return resumed?.role === 'follower';
     });
     expect(new Set(zones)).toEqual(new Set(['zone-a']));
   }, 30_000);
 
-  // An instance loses its disk and comes back empty; soon after, one of the
-  // two that held everything dies. What was accepted must still be there, and
-  // no operator had to repair anything.
-  it('should rejoin after a lost disk, and bear a second loss', async () => {
+  // An instance loses its disk and restarts empty. Soon after, one of the two
+  // complete instances dies. All accepted commands must still be there without
+  // any repair by an operator.
+  it('should rejoin after a lost disk and survive a second failure', async () => {
     const key = newKey();
     const first = await assign(system.port(0), key, 3);
     const leader = await system.leader();
@@ -88,9 +88,9 @@
     await system.inForce();
   }, 45_000);
 
-  // Hundreds of files are accepted while one instance and one entry are
-  // down. Both come back with nothing but what they had, and must end at the
-  // newest revision without showing anyone an older one in between.
+  // Hundreds of rule files are accepted while one instance and one entry are
+  // down. Both restart with their old state and must reach the newest revision
+  // without applying an older one in between.
   it('should catch up after hundreds of revisions', async () => {
     const leader = await system.leader();
     const behind = leader === 'control-0' ? 'control-1' : 'control-0';
@@ -107,20 +107,20 @@
     await eventually('the instance has caught up', async () => {
       const {instances} = await system.status();
       const most = Math.max(...instances.map(one => one.commitIndex));
-      const it = instances.find(one => one.instanceId === behind);
-      return it?.commitIndex === most;
+      const restarted = instances.find(one => one.instanceId === behind);
+      return restarted?.commitIndex === most;
     });
   }, 60_000);
 
-  // All control processes die, and their hosts say so by refusing
-  // connections. Nothing can be accepted any more, so the rules that are held
-  // stay true, and callers are served on.
-  it('should serve on by the held rules when all of control is killed', async () => {
+  // All control processes die and their hosts refuse connections. No new rules
+  // can be accepted, so the current ones stay valid and callers are still
+  // served.
+  it('should keep serving by the current rules when all of control is killed', async () => {
     const names = ['control-0', 'control-1', 'control-2'];
     await Promise.all(
       names.map(name => system.deployment.child(name).end('SIGKILL'))
     );
-    await eventually('both entries say that control is down', async () => {
+    await eventually('both entries report that control is down', async () => {
       const kinds = await Promise.all([0, 1].map(readinessOf));
       return kinds.every(kind => kind === 'control down');
     });
@@ -139,9 +139,9 @@
     await system.inForce();
   }, 60_000);
 
-  // An entry and the agents of a zone are frozen with calls on their sockets,
-  // and the zone goes out meanwhile. Woken, the first thing they read is a
-  // call from before, and what they hold says that the zone is in service.
+  // An entry and the agents of a zone are frozen with calls in their sockets,
+  // and the zone goes out of service meanwhile. When they resume, they first
+  // read those calls while their rules still have the zone in service.
   it('should start nothing in a zone that went out while they were frozen', async () => {
     await system.submit();
     await system.inForce();
@@ -159,26 +159,26 @@
       chat(system.port(i % 2), `frozen ${i}`, 2, false)
     );
     await system.submit({zonesOut: ['zone-b']});
-    await eventually('control no longer hears of them', async () => {
+    await eventually('control has removed them', async () => {
       const {processes} = await system.status();
       return !processes.some(one => names.includes(one.processId));
     });
-    const before = await runsAt(inZone.map(one => one.fakePort));
+    const before = await countRuns(inZone.map(one => one.fakePort));
     for (const process of frozen) process.kill('SIGCONT');
     for (const {status, target, outcome} of await Promise.all(calls)) {
       if (status === 200) expect(zoneOf(target)).toBe('zone-a');
       else expect(outcome).toBe('not run');
     }
-    expect(await runsAt(inZone.map(one => one.fakePort))).toBe(before);
+    expect(await countRuns(inZone.map(one => one.fakePort))).toBe(before);
     await system.inForce();
   }, 45_000);
 });
 
-describe('operators who race', () => {
-  // Two operators submit different files under one number at once. One gets
-  // the number, the other learns who has it; both can be told their answer
-  // again.
-  it('should let exactly one win under equal numbers', async () => {
+describe('concurrent submissions of operators', () => {
+  // Two operators submit different files under one revision at once. One is
+  // accepted, the other is told the winner, and both get the same result when
+  // they repeat the submission.
+  it('should accept exactly one of two files with the same revision', async () => {
     const revision = ++system.revision;
     const texts = ['Aoife', 'Brendan'].map(askedBy =>
       rulesText({revision, askedBy})
@@ -201,9 +201,9 @@
     });
   });
 
-  // A is accepted, then B; then A's sender, whose answer was lost, sends A
-  // again. If that counted as a change, B would silently be undone.
-  it('should not bring A back when it is resent after B', async () => {
+  // A is accepted, then B. The operator of A lost the reply and submits A
+  // again. If that counted as a change, B would silently be reverted.
+  it('should not restore A when it is submitted again after B', async () => {
     const textA = rulesText({revision: ++system.revision, askedBy: 'Aoife'});
     await system.control.submit(textA);
     const textB = rulesText({
@@ -219,9 +219,10 @@
     expect((await system.status()).rulesText).toBe(textB);
   });
 
-  // A zone goes out, in and out faster than the processes poll; each may see
-  // any of the three first. All must end with the last, and none goes back.
-  it('should end with the last of out, in and out', async () => {
+  // A zone goes out, in and out again faster than processes poll, so each may
+  // receive any of the three revisions first. All must end with the last one,
+  // and none may go back.
+  it('should end with the last of three quick changes of a zone', async () => {
     await system.submit({zonesOut: ['zone-b']});
     await system.submit();
     await system.submit({zonesOut: ['zone-b']});
@@ -245,8 +246,8 @@
   return ((await res.json()) as {readonly freshness: string}).freshness;
 }
 
-/** Requests that these engines have run, all together. */
-async function runsAt(ports: readonly number[]): Promise<number> {
+/** Total number of requests that these engines have run. */
+async function countRuns(ports: readonly number[]): Promise<number> {
   const states = await Promise.all(
     ports.map(port => system.fake(port, 'state'))
   );
--- a/tests/processes/expertMaps.spec.ts
+++ b/tests/processes/expertMaps.spec.ts
@@ -6,7 +6,7 @@
 const GROUP_ARGS = ['--step-ms', '10', '--experts', '16', '--spare-slots', '4'];
 const RULES = {extra: ['rebalance planner on gain=1%']};
 
-/** From which step a rank used which map. */
+/** The first pass at which a rank used a map. */
 interface MapSpan {
   readonly fromStep: number;
   readonly mapVersion: number;
@@ -29,7 +29,7 @@
 }, 60_000);
 afterAll(() => system.stop());
 
-async function histories(): Promise<readonly (readonly MapSpan[])[]> {
+async function readMapHistories(): Promise<readonly (readonly MapSpan[])[]> {
   const ports = system.fakePorts('planner');
   const states = await Promise.all(
     ports.map(port => system.fake(port, 'state'))
@@ -37,8 +37,8 @@
   return states.map(state => state['mapHistory'] as readonly MapSpan[]);
 }
 
-/** Popularity follows the prompts, so traffic makes it uneven. */
-async function traffic(label: string): Promise<void> {
+/** The popularity of experts depends on prompts, so traffic makes it uneven. */
+async function sendTraffic(label: string): Promise<void> {
   const calls = Array.from({length: 8}, (_, i) =>
     chat(system.port(i % 2), `${label} ${i}`, 32, false)
   );
@@ -46,10 +46,10 @@
 }
 
 /** Waits until every rank has switched at least `count` times. */
-function switched(label: string, count: number) {
+function waitForSwitches(label: string, count: number) {
   return eventually(`${count} switches on all ranks`, async () => {
-    await traffic(label);
-    const seen = await histories();
+    await sendTraffic(label);
+    const seen = await readMapHistories();
     return seen.every(spans => spans.length > count) ? seen : undefined;
   });
 }
@@ -61,30 +61,30 @@
 }
 
 describe('expert maps of a group in lock-step', () => {
-  // Callers wait while a rank that missed the switch computes with another map
-  // than the rest. The commit reaches each rank late and apart; still each must
-  // change at the very same step.
-  it('should change on all ranks at the same step', async () => {
-    expectOneMapAtEachStep(await switched('first', 1));
+  // Callers would wait while a rank that missed the switch computes with
+  // another map than the others. The commit reaches the ranks late and at
+  // different times, but all must change at the same pass.
+  it('should change on all ranks at the same pass', async () => {
+    expectOneMapAtEachStep(await waitForSwitches('first', 1));
   });
 
-  // The leader dies while switches go on; its successor takes a higher fence.
-  // No rank may act on what the old one had not made durable, and none may
-  // stand at its barrier for good.
-  it('should go on changing together after the leader was killed', async () => {
-    const before = await histories();
+  // The leader dies during switches and its successor gets a higher fence. No
+  // rank may act on a decision of the old leader that was not durable, and none
+  // may hold forever.
+  it('should keep changing together after the leader was killed', async () => {
+    const before = await readMapHistories();
     const longest = Math.max(...before.map(spans => spans.length));
     await system.deployment.child(await system.leader()).end('SIGKILL');
-    expectOneMapAtEachStep(await switched('second', longest));
+    expectOneMapAtEachStep(await waitForSwitches('second', longest));
   });
 
-  // An agent dies and comes back; it knows no fence and no map, and must learn
-  // both from control before its rank takes part again.
-  it('should go on changing together after an agent was killed', async () => {
-    const before = await histories();
+  // An agent dies and restarts without fence and map. It must get both from
+  // control before its rank takes part again.
+  it('should keep changing together after an agent was killed', async () => {
+    const before = await readMapHistories();
     const longest = Math.max(...before.map(spans => spans.length));
     await system.deployment.child('agent-planner-2').end('SIGKILL');
     await system.deployment.restart('agent-planner-2');
-    expectOneMapAtEachStep(await switched('third', longest));
+    expectOneMapAtEachStep(await waitForSwitches('third', longest));
   });
 });
--- a/tests/processes/fleet.spec.ts
+++ b/tests/processes/fleet.spec.ts
@@ -6,12 +6,12 @@
   pool: 'planner',
   kind: 'engine',
   count: 4,
-  // Engines that obey every order, however old its fence.
+  // These engines accept orders with any fence.
   fakeArgs: ['--step-ms', '5', '--load-ms', '1500', '--no-refuse-old-fences'],
 } as const;
-const OWN = 'serve planner planner version=v1 min=2 max=4';
-const ONE = 'serve planner llama version=v1 min=1 max=2';
-const TWO = 'serve planner llama version=v1 min=2 max=2';
+const SERVE_PLANNER = 'serve planner planner version=v1 min=2 max=4';
+const SERVE_LLAMA_ON_ONE = 'serve planner llama version=v1 min=1 max=2';
+const SERVE_LLAMA_ON_TWO = 'serve planner llama version=v1 min=2 max=2';
 
 let system: TestSystem;
 
@@ -28,26 +28,29 @@
   return call(system.port(1), path, {method: 'POST', body});
 }
 
-/** Calls one model without a pause until stopped; returns what went wrong. */
-function callers(model: string): () => Promise<readonly string[]> {
-  let going = true;
-  const wrong: string[] = [];
+/**
+ * Calls one model continuously. The returned function stops that and returns the
+ * calls that failed.
+ */
+function startCalling(model: string): () => Promise<readonly string[]> {
+  let isCalling = true;
+  const failures: string[] = [];
   const all = (async () => {
-    while (going) {
+    while (isCalling) {
       const {status, reason, body} = await ask(model);
       const answered = status === 200 && body.includes(`"model":"${model}"`);
-      if (!answered) wrong.push(`${status} ${reason} ${body}`);
+      if (!answered) failures.push(`${status} ${reason} ${body}`);
     }
   })();
   return async () => {
-    going = false;
+    isCalling = false;
     await all;
-    return wrong;
+    return failures;
   };
 }
 
-/** Names of targets that hold the model, as their fakes say. */
-async function holders(model: string): Promise<readonly string[]> {
+/** Targets whose fake engines report the model. */
+async function targetsHolding(model: string): Promise<readonly string[]> {
   const {targets} = system.deployment;
   const planners = targets.filter(target => target.pool === 'planner');
   const held = await Promise.all(
@@ -60,8 +63,8 @@
   return held.flat();
 }
 
-/** Waits until so many announced targets take work for the model. */
-function serving(model: string, count: number) {
+/** Waits until `count` announced targets accept work for the model. */
+function waitForServing(model: string, count: number) {
   return eventually(`${count} targets serve ${model}`, async () => {
     const {targets} = await system.status();
     const able = targets.filter(one => one.model === model && one.limit > 0);
@@ -69,41 +72,41 @@
   });
 }
 
-describe('orders for models in a running system', () => {
-  // Callers go on calling the one model while a target is taken for another.
-  // The leader is killed between its order and the answer; the next one must
-  // find the order, and no caller may get an error or the other model's answer.
-  it('should change a target while the leader dies, unseen by callers', async () => {
-    await system.submit({extra: [OWN, ONE]});
-    // A target refuses what comes under rules that it does not hold yet.
+describe('model orders in a running system', () => {
+  // Callers keep calling one model while a target is changed to another. The
+  // leader is killed between its order and the reply. The next leader must find
+  // the order, and no caller may get an error or a response of the other model.
+  it('should change a target while the leader dies, unnoticed by callers', async () => {
+    await system.submit({extra: [SERVE_PLANNER, SERVE_LLAMA_ON_ONE]});
+    // A target refuses calls under a revision that it does not have yet.
     await system.inForce();
-    const stop = callers('planner');
-    await eventually('a load', async () => (await holders('llama'))[0]);
+    const stop = startCalling('planner');
+    await eventually('a load', async () => (await targetsHolding('llama'))[0]);
     await system.deployment.child(await system.leader()).end('SIGKILL');
-    await serving('llama', 1);
+    await waitForServing('llama', 1);
     expect(await stop()).toEqual([]);
-    // Entries hear of the target with a poll of their own.
+    // Entries learn about the target with their next poll.
     await eventually('llama', async () => (await ask('llama')).status === 200);
     expect(await ask('gone')).toMatchObject({reason: 'no-route'});
-    expect(await holders('planner')).toHaveLength(3);
+    expect(await targetsHolding('planner')).toHaveLength(3);
   }, 60_000);
 
-  // The agent dies while its target loads, and knows nothing when it is back.
-  // Its target must end up with one model, take work again, and get no second
-  // load.
-  it('should end an order whose agent restarted meanwhile', async () => {
-    const before = await holders('llama');
-    await system.submit({extra: [OWN, TWO]});
+  // The agent dies while its target loads a model and restarts without state.
+  // The target must end up with one model, accept work again, and not load
+  // twice.
+  it('should complete an order whose agent restarted meanwhile', async () => {
+    const before = await targetsHolding('llama');
+    await system.submit({extra: [SERVE_PLANNER, SERVE_LLAMA_ON_TWO]});
     await system.inForce();
-    const stop = callers('llama');
+    const stop = startCalling('llama');
     const target = await eventually('another load', async () =>
-      (await holders('llama')).find(name => !before.includes(name))
+      (await targetsHolding('llama')).find(name => !before.includes(name))
     );
     await system.deployment.child(`agent-${target}`).end('SIGKILL');
     await system.deployment.restart(`agent-${target}`);
-    await serving('llama', 2);
+    await waitForServing('llama', 2);
     expect(await stop()).toEqual([]);
-    expect(await holders('planner')).toHaveLength(2);
+    expect(await targetsHolding('planner')).toHaveLength(2);
     const {fakePort} = system.deployment.targets.find(
       one => one.targetId === target
     )!;
--- a/tests/rulesState.spec.ts
+++ b/tests/rulesState.spec.ts
@@ -6,11 +6,11 @@
 }
 
 describe('accepted rule files', () => {
-  // Operators would see "accepted" and no process would follow: control lost
-  // all its disks, entries and agents still hold revision 12 and take nothing
-  // below it. The first file on an empty state may therefore have any number;
-  // every later one follows by one.
-  it('should take the first file under any number, then one by one', () => {
+  // Control has lost all its disks, but entries and agents still hold revision
+  // 12 and reject lower ones. Operators would see "accepted" while no process
+  // applies the file. The first file may therefore have any revision number;
+  // each later one must increase it by 1.
+  it('should accept the first file under any revision, then each next one', () => {
     const state = new RulesState();
     expect(submit(state, 13, 'a')).toMatchObject({kind: 'accepted'});
     expect(submit(state, 15, 'b')).toMatchObject({kind: 'gap', current: 13});
