--- a/src/control/announcedChange.ts
+++ b/src/control/announcedChange.ts
@@ -1,62 +1,72 @@
 /**
- * When entries have to hear of a new announcement. Pure. Agents announce
- * several times a second; passed on as they come, the announcements of N
- * targets would cost every entry bytes in proportion to N, with nothing new.
+ * Decides when a new announcement of a target is published to entries. Pure.
+ * Agents announce several times a second. If every announcement were passed on,
+ * the traffic to each entry would grow with the number of targets even when
+ * nothing relevant changes.
  */
 
 import type {Announcement} from '../core/wire';
 
-/** A change of load that could turn a choice waits no longer than this. */
-const LARGE_CHANGE_MS = 1_000;
-/** Any other change of load waits no longer than this. */
-export const LOAD_CHANGE_MS = 5_000;
-/** A large change, in parts of what the target may run at once. */
-const LARGE_PART = 0.25;
-/** Less than this changes no choice that matters, and is not told at all. */
-const SMALL_PART = 1 / 16;
 /**
- * About a short answer. The choice reads requests, not tokens, so these are
- * mostly told beside other changes.
+ * Minimum time between two published announcements of a target when its load
+ * changed enough to affect which target an entry chooses.
  */
-const TOKEN_STEP = 256;
+const LARGE_CHANGE_INTERVAL_MS = 1_000;
+/** Minimum time between two published announcements for a smaller change. */
+export const SMALL_CHANGE_INTERVAL_MS = 5_000;
+/** A change above this part of the concurrency limit is large. */
+const LARGE_CHANGE_RATIO = 0.25;
+/** A smaller part of the limit does not affect choices and is not published. */
+const SMALL_CHANGE_RATIO = 1 / 16;
+/**
+ * Smallest published change of the tokens in work, about one short completion.
+ * Targets are chosen by requests rather than tokens, so a change of tokens is
+ * mostly published together with other changes.
+ */
+const MIN_TOKEN_CHANGE = 256;
 
-/** Whether `next` must be passed on, `sinceMs` after `told` was. */
-export function mustTell(
-  told: Announcement,
+/** Whether to publish `next`, `sinceMs` after `published` was published. */
+export function shouldPublish(
+  published: Announcement,
   next: Announcement,
   sinceMs: number
 ): boolean {
-  if (identityOf(told) !== identityOf(next)) return true;
-  // At 0 a target takes nothing: either way, entries must know at once.
-  if (told.limit > 0 !== next.limit > 0) return true;
-  if (moved(told, next) > Math.max(1, told.limit * LARGE_PART))
-    return sinceMs >= LARGE_CHANGE_MS;
-  return sinceMs >= LOAD_CHANGE_MS && isSmallChange(told, next);
+  if (nonLoadFields(published) !== nonLoadFields(next)) return true;
+  // With a limit of 0 a target accepts no work. Entries need to know at once
+  // when that starts or ends.
+  if (published.limit > 0 !== next.limit > 0) return true;
+  if (
+    loadChange(published, next) >
+    Math.max(1, published.limit * LARGE_CHANGE_RATIO)
+  )
+    return sinceMs >= LARGE_CHANGE_INTERVAL_MS;
+  return sinceMs >= SMALL_CHANGE_INTERVAL_MS && isNoticeable(published, next);
 }
 
-/** All but the load, the sequence number and the age of the load report. */
-function identityOf(announcement: Announcement): string {
+/** All fields but the load, the sequence number and the age of the load. */
+function nonLoadFields(announcement: Announcement): string {
   const {agentBootId, host, port, pool, availabilityZone} = announcement;
   const {state, temperature, model, modelVersion, group} = announcement;
-  const place = [agentBootId, host, port, pool, availabilityZone];
-  // Entries tell a warm target from any other, and no more.
-  const kind = [state, temperature === 'warm', model, modelVersion];
-  return JSON.stringify([place, kind, group?.id, group?.rank]);
+  const location = [agentBootId, host, port, pool, availabilityZone];
+  // Entries only distinguish warm targets from all others.
+  const status = [state, temperature === 'warm', model, modelVersion];
+  return JSON.stringify([location, status, group?.id, group?.rank]);
 }
 
-function isSmallChange(told: Announcement, next: Announcement): boolean {
-  const tokens = (next.tokensInWork ?? 0) - (told.tokensInWork ?? 0);
+function isNoticeable(published: Announcement, next: Announcement): boolean {
+  const tokens = (next.tokensInWork ?? 0) - (published.tokensInWork ?? 0);
   return (
-    moved(told, next) >= Math.max(1, told.limit * SMALL_PART) ||
-    Math.abs(tokens) >= TOKEN_STEP ||
-    told.slowdown !== next.slowdown ||
-    JSON.stringify(told.prefixes) !== JSON.stringify(next.prefixes)
+    loadChange(published, next) >=
+      Math.max(1, published.limit * SMALL_CHANGE_RATIO) ||
+    Math.abs(tokens) >= MIN_TOKEN_CHANGE ||
+    published.slowdown !== next.slowdown ||
+    JSON.stringify(published.prefixes) !== JSON.stringify(next.prefixes)
   );
 }
 
-/** By how many requests the work or the limit moved. */
-function moved(told: Announcement, next: Announcement): number {
+/** The larger of the changes of work and of limit, in requests. */
+function loadChange(published: Announcement, next: Announcement): number {
   const work = ({outstanding, queued}: Announcement) => outstanding + queued;
-  const byWork = Math.abs(work(next) - work(told));
-  return Math.max(byWork, Math.abs(next.limit - told.limit));
+  const workChange = Math.abs(work(next) - work(published));
+  return Math.max(workChange, Math.abs(next.limit - published.limit));
 }
--- a/src/control/controlContext.ts
+++ b/src/control/controlContext.ts
@@ -1,4 +1,4 @@
-/** What the methods of a control instance work with. */
+/** Dependencies of the RPC methods of a control instance. */
 
 import type {Logger} from '../core/logger';
 import type {EntryViews} from './entryViews';
@@ -7,9 +7,9 @@
 import type {RecentRules} from './recentRules';
 import type {ControlState} from './state/controlState';
 import type {UsageTable} from './usageTable';
-import type {ZonesOut} from './zonesOut';
+import type {ZoneStatusCache} from './zonesOut';
 
-/** One instance's parts. */
+/** The components of one control instance. */
 export interface ControlContext {
   readonly instanceId: string;
   readonly bootId: string;
@@ -17,7 +17,7 @@
   readonly state: ControlState;
   readonly members: MemberTable;
   readonly entryViews: EntryViews;
-  readonly zones: ZonesOut;
+  readonly zones: ZoneStatusCache;
   readonly recentRules: RecentRules;
   readonly usage: UsageTable;
   readonly logger: Logger;
--- a/src/control/entryViews.ts
+++ b/src/control/entryViews.ts
@@ -1,7 +1,8 @@
 /**
- * What each entry is told of the targets: a bounded subset of each pool. Soft
- * state, by entry; one that holds something else than is noted here, as after
- * a lost answer, is told its subset whole.
+ * Selects the targets that each entry follows, a bounded subset of each pool,
+ * and computes the changes to send with its next poll. The state is kept in
+ * memory only. An entry that holds another version than recorded here, for
+ * example after a lost reply, receives its subset whole.
  */
 
 import {updateOf} from '../core/announcements';
@@ -19,19 +20,19 @@
 } from '../policy/subset';
 import {MEMBER_TTL_MS, MemberTable} from './memberTable';
 
-interface PoolView {
+interface PoolSubset {
   readonly version: number;
   readonly size: number;
   readonly ids: readonly string[];
 }
 
-/** One entry, as last answered. */
+/** What one entry received with the last reply. */
 interface EntryView {
   readonly bootId: string;
   readonly version: number;
-  /** Its subset, as it was told. */
-  readonly told: ReadonlyMap<string, Announcement>;
-  readonly pools: ReadonlyMap<string, PoolView>;
+  /** Announcements of its targets as last sent, by target. */
+  readonly sent: ReadonlyMap<string, Announcement>;
+  readonly pools: ReadonlyMap<string, PoolSubset>;
   readonly atMs: number;
 }
 
@@ -40,31 +41,34 @@
   readonly candidates: readonly SubsetCandidate[];
 }
 
-/** The zones that the rules in force here take out, with their revision. */
-export interface ZonesInForce {
+/** The zones that the rules applied here take out of service. */
+export interface ZoneStatus {
   readonly revision: number;
   isZoneOut(availabilityZone: string): boolean;
 }
 
-/** The views of all entries that ask this instance. */
+/** The state of all entries that poll this instance. */
 export class EntryViews {
   private readonly views = new Map<string, EntryView>();
   private readonly pools = new Map<string, PoolCandidates>();
   private revision = 0;
-  private expiredAtMs = 0;
+  private lastExpiryAtMs = 0;
 
   constructor(private readonly members: MemberTable) {}
 
-  /** Changes since what the entry holds; `since` as in `changesSince`. */
+  /**
+   * Changes for the entry since the version that it holds; everything when
+   * `since` is undefined or is not the version that was last sent to it.
+   */
   changesFor(
     {processId, bootId, subset}: PollRequest,
     since: number | undefined,
-    zones: ZonesInForce,
+    zones: ZoneStatus,
     nowMs: number
   ): MembersAnswer {
     if (subset === undefined) return this.members.changesSince(since);
     this.expire(nowMs);
-    this.follow(zones);
+    this.applyZones(zones);
     const known = this.views.get(processId);
     const held =
       known?.bootId === bootId && known.version === since ? known : undefined;
@@ -73,73 +77,80 @@
       this.views.set(processId, {...held, atMs: nowMs});
       return {version};
     }
-    const pools = this.poolViews(processId, subset, known?.pools, zones);
-    const told = this.toldTo(pools, held);
-    this.views.set(processId, {bootId, version, told, pools, atMs: nowMs});
+    const pools = this.selectSubsets(processId, subset, known?.pools, zones);
+    const next = this.collectAnnouncements(pools, held);
+    this.views.set(processId, {
+      bootId,
+      version,
+      sent: next,
+      pools,
+      atMs: nowMs,
+    });
     if (held === undefined)
-      return {version, full: true, changed: [...told.values()]};
-    return {version, ...difference(held.told, told)};
+      return {version, full: true, changed: [...next.values()]};
+    return {version, ...diffMembers(held.sent, next)};
   }
 
-  /** What did not change keeps its identity. */
-  private toldTo(
+  /** Keeps the same object for each target whose announcement is unchanged. */
+  private collectAnnouncements(
     pools: EntryView['pools'],
     held: EntryView | undefined
-  ): EntryView['told'] {
-    const told = new Map<string, Announcement>();
+  ): EntryView['sent'] {
+    const announcements = new Map<string, Announcement>();
     for (const {ids} of pools.values()) {
       for (const id of ids) {
-        const known = held?.told.get(id);
-        const isOld =
+        const known = held?.sent.get(id);
+        const isUnchanged =
           known !== undefined &&
           held !== undefined &&
           !this.members.changedAfter(id, held.version);
-        const now = isOld ? known : this.members.toldOf(id);
-        if (now !== undefined) told.set(id, now);
+        const current = isUnchanged ? known : this.members.findPublished(id);
+        if (current !== undefined) announcements.set(id, current);
       }
     }
-    return told;
+    return announcements;
   }
 
-  /** A zone that goes out or comes back changes every subset. */
-  private follow({revision}: ZonesInForce): void {
+  /** A zone that goes out of service or returns can change every subset. */
+  private applyZones({revision}: ZoneStatus): void {
     if (revision === this.revision) return;
     this.revision = revision;
-    this.members.usabilityChanged();
+    this.members.markAllPoolsChanged();
   }
 
-  private poolViews(
+  private selectSubsets(
     entryId: string,
     size: number,
     known: EntryView['pools'] | undefined,
-    zones: ZonesInForce
-  ): ReadonlyMap<string, PoolView> {
-    const views = new Map<string, PoolView>();
+    zones: ZoneStatus
+  ): ReadonlyMap<string, PoolSubset> {
+    const subsets = new Map<string, PoolSubset>();
     for (const [pool, {version}] of this.members.listPools()) {
-      const view = known?.get(pool);
-      if (view?.version === version && view.size === size) {
-        views.set(pool, view);
+      const knownSubset = known?.get(pool);
+      if (knownSubset?.version === version && knownSubset.size === size) {
+        subsets.set(pool, knownSubset);
         continue;
       }
       const candidates = this.candidatesOf(pool, version, zones);
-      // By pool, or all entries that are alike in one would be in all.
+      // The seed includes the pool. Otherwise entries that get the same subset
+      // in one pool would get the same subset in all pools.
       const seed = entrySeed(`${entryId}/${pool}`);
       const chosen = chooseSubset(seed, candidates, size);
       const ids = chosen.map(({targetId}) => targetId);
-      views.set(pool, {version, size, ids});
+      subsets.set(pool, {version, size, ids});
     }
-    return views;
+    return subsets;
   }
 
   private candidatesOf(
     pool: string,
     version: number,
-    zones: ZonesInForce
+    zones: ZoneStatus
   ): readonly SubsetCandidate[] {
     const known = this.pools.get(pool);
     if (known?.version === version) return known.candidates;
     const candidates = this.members
-      .toldOfPool(pool)
+      .listPublished(pool)
       .map(({targetId, availabilityZone, state, limit}) => ({
         targetId,
         availabilityZone,
@@ -154,28 +165,28 @@
   }
 
   private expire(nowMs: number): void {
-    if (nowMs - this.expiredAtMs < MEMBER_TTL_MS) return;
-    this.expiredAtMs = nowMs;
+    if (nowMs - this.lastExpiryAtMs < MEMBER_TTL_MS) return;
+    this.lastExpiryAtMs = nowMs;
     for (const [id, {atMs}] of this.views)
       if (nowMs - atMs > MEMBER_TTL_MS) this.views.delete(id);
   }
 }
 
-/** The way from what an entry holds to its subset now. */
-function difference(
-  held: EntryView['told'],
-  told: EntryView['told']
+/** The difference between the announcements that an entry holds and `next`. */
+function diffMembers(
+  held: EntryView['sent'],
+  next: EntryView['sent']
 ): Omit<MembersAnswer, 'version'> {
   const changed: Announcement[] = [];
   const updated: AnnouncementUpdate[] = [];
-  for (const [id, now] of told) {
+  for (const [id, current] of next) {
     const known = held.get(id);
-    if (known === now) continue;
-    if (known?.agentBootId === now.agentBootId)
-      updated.push(updateOf(known, now));
-    else changed.push(now);
+    if (known === current) continue;
+    if (known?.agentBootId === current.agentBootId)
+      updated.push(updateOf(known, current));
+    else changed.push(current);
   }
-  const removed = [...held.keys()].filter(id => !told.has(id));
+  const removed = [...held.keys()].filter(id => !next.has(id));
   return {
     changed: changed.length > 0 ? changed : undefined,
     updated: updated.length > 0 ? updated : undefined,
--- a/src/control/fleet/fleetMachine.ts
+++ b/src/control/fleet/fleetMachine.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's side of orders for models: pure, driven by events. It gives no
- * order before its fence is agreed and it has read what is under way, and
- * sends none that is not recorded.
+ * The leader side of model orders, a pure event-driven state machine. It
+ * accepts no plan before its fence is committed and the open orders have been
+ * read, and it sends no order that is not recorded in the log.
  */
 
 import {unreachable} from '../../core/errors';
@@ -15,26 +15,29 @@
 } from '../state/command';
 import type {FleetResult, OpenOrder} from './fleetState';
 
-/** What the machine reacts to. */
+/** Input of the state machine. */
 export type FleetEvent =
   | {readonly kind: 'lead'}
   | {readonly kind: 'resign'}
   | {readonly kind: 'fence'; readonly fence: number}
-  /** What the log holds, behind a barrier begun after the `read` of that seq. */
+  /**
+   * The replicated state, read behind a barrier that began after the `read`
+   * action with that seq.
+   */
   | {
       readonly kind: 'read';
       readonly seq: number;
       readonly fence: number;
       readonly open: readonly OpenOrder[];
     }
-  /** A proposed command was applied, and what is open since. */
+  /** A proposed command was applied; `open` are the open orders after it. */
   | {
       readonly kind: 'recorded';
       readonly command: FleetOrderCommand | FleetEndCommand;
       readonly result: FleetResult['kind'];
       readonly open: readonly OpenOrder[];
     }
-  /** An agent answered an order that was sent under this fence. */
+  /** The reply of an agent to `order`. */
   | {
       readonly kind: 'answer';
       readonly targetId: string;
@@ -42,16 +45,16 @@
       readonly answer: ModelOrderAnswer;
     }
   | {readonly kind: 'plan'; readonly changes: readonly PlannedOrder[]}
-  /** `wanted`: rules ask for models, or orders may be open. */
+  /** `wanted`: rules require models, or orders may be open. */
   | {readonly kind: 'tick'; readonly wanted: boolean};
 
-/** What is to be done. */
+/** Output of the state machine, carried out by its caller. */
 export type FleetAction =
   | {
       readonly kind: 'propose';
       readonly command: FleetFenceCommand | FleetOrderCommand | FleetEndCommand;
     }
-  /** Pass a read barrier, then come back with `read`. */
+  /** Pass a read barrier, then handle the event `read`. */
   | {readonly kind: 'read'; readonly seq: number}
   | {
       readonly kind: 'send';
@@ -59,12 +62,12 @@
       readonly order: ModelOrder;
     };
 
-/** Who this is, and its times in milliseconds. */
+/** Identity and timing of the state machine; times in milliseconds. */
 export interface FleetMachineConfig {
   readonly holder: string;
-  /** Time after which an order without an end is sent again. */
+  /** Time after which an order without an outcome is sent again. */
   readonly resendMs: number;
-  /** Time after which a proposal without an answer is made again. */
+  /** Time after which a proposal without a reply is repeated. */
   readonly proposeRetryMs: number;
 }
 
@@ -72,8 +75,8 @@
 
 type Phase =
   | {readonly kind: 'following'}
-  /** Leads, and has no reason to give orders yet. */
-  | {readonly kind: 'resting'}
+  /** Leads, but no orders are needed yet. */
+  | {readonly kind: 'standby'}
   | {readonly kind: 'fencing'}
   | {readonly kind: 'reading'; readonly fence: number; readonly seq: number}
   | {readonly kind: 'idle'; readonly fence: number}
@@ -83,27 +86,27 @@
       readonly command: Recorded;
     };
 
-/** Decides for the one instance that leads; the caller carries out actions. */
+/** State machine of one control instance; acts only while it leads. */
 export class FleetMachine {
   private phase: Phase = {kind: 'following'};
   private openOrders: readonly OpenOrder[] = [];
-  private ends = new Map<string, FleetEndCommand>();
+  private pendingEnds = new Map<string, FleetEndCommand>();
   private newestFence = 0;
   private seq = 0;
-  private planned = 0;
-  private sentAtMs = -Infinity;
+  private plannedCount = 0;
+  private lastSentAtMs = -Infinity;
 
   constructor(private readonly cfg: FleetMachineConfig) {}
 
   /** Whether new orders may be planned. */
   get idle(): boolean {
-    return this.phase.kind === 'idle' && this.ends.size === 0;
+    return this.phase.kind === 'idle' && this.pendingEnds.size === 0;
   }
 
   handle(event: FleetEvent, nowMs: number): readonly FleetAction[] {
     switch (event.kind) {
       case 'lead':
-        this.phase = {kind: 'resting'};
+        this.phase = {kind: 'standby'};
         return [];
       case 'resign':
         return this.resign();
@@ -127,14 +130,14 @@
   private resign(): readonly FleetAction[] {
     this.phase = {kind: 'following'};
     this.openOrders = [];
-    this.ends.clear();
+    this.pendingEnds.clear();
     return [];
   }
 
-  private takeFence(nowMs: number): readonly FleetAction[] {
+  private requestFence(nowMs: number): readonly FleetAction[] {
     this.phase = {kind: 'fencing'};
-    this.ends.clear();
-    this.sentAtMs = nowMs;
+    this.pendingEnds.clear();
+    this.lastSentAtMs = nowMs;
     return [this.fenceAction()];
   }
 
@@ -146,7 +149,7 @@
   private onFence(fence: number): readonly FleetAction[] {
     if (this.phase.kind !== 'fencing' || fence <= this.newestFence) return [];
     this.newestFence = fence;
-    this.planned = 0;
+    this.plannedCount = 0;
     return this.read(fence);
   }
 
@@ -161,19 +164,19 @@
   ): readonly FleetAction[] {
     const {phase} = this;
     if (phase.kind !== 'reading' || seq !== phase.seq) return [];
-    if (fence !== phase.fence) return this.takeFence(nowMs);
+    if (fence !== phase.fence) return this.requestFence(nowMs);
     this.phase = {kind: 'idle', fence};
     this.openOrders = open;
-    return this.sends(fence, open);
+    return this.sendActions(fence, open);
   }
 
-  /** An order taken over keeps its id: the agent may be at it already. */
-  private sends(
+  /** Inherited orders keep their ids: an agent may be executing one already. */
+  private sendActions(
     fence: number,
     orders: readonly OpenOrder[]
   ): readonly FleetAction[] {
     return orders
-      .filter(({targetId}) => !this.ends.has(targetId))
+      .filter(({targetId}) => !this.pendingEnds.has(targetId))
       .map(({targetId, id, model, version}) => ({
         kind: 'send',
         targetId,
@@ -188,13 +191,13 @@
     if (this.phase.kind !== 'idle' || !this.idle) return [];
     if (changes.length === 0) return [];
     const {fence} = this.phase;
-    const id = versionOf(fence, ++this.planned);
+    const id = versionOf(fence, ++this.plannedCount);
     return this.record({kind: 'fleetOrder', fence, id, changes}, nowMs);
   }
 
   private record(command: Recorded, nowMs: number): readonly FleetAction[] {
     this.phase = {kind: 'recording', fence: command.fence, command};
-    this.sentAtMs = nowMs;
+    this.lastSentAtMs = nowMs;
     return [{kind: 'propose', command}];
   }
 
@@ -204,14 +207,17 @@
   ): readonly FleetAction[] {
     const {phase} = this;
     if (phase.kind !== 'recording' || phase.command !== command) return [];
-    if (result === 'fenced') return this.takeFence(nowMs);
+    if (result === 'fenced') return this.requestFence(nowMs);
     const {fence} = phase;
     this.phase = {kind: 'idle', fence};
     const known = new Set(this.openOrders.map(({targetId}) => targetId));
     this.openOrders = open;
-    if (command.kind === 'fleetEnd') this.ends.delete(command.targetId);
-    const fresh = open.filter(({targetId}) => !known.has(targetId));
-    return [...this.sends(fence, fresh), ...this.nextEnd(nowMs)];
+    if (command.kind === 'fleetEnd') this.pendingEnds.delete(command.targetId);
+    const newOrders = open.filter(({targetId}) => !known.has(targetId));
+    return [
+      ...this.sendActions(fence, newOrders),
+      ...this.recordNextEnd(nowMs),
+    ];
   }
 
   private onAnswer(
@@ -219,34 +225,41 @@
     nowMs: number
   ): readonly FleetAction[] {
     const {phase} = this;
-    // The answer to an order under an older fence may have passed a newer one.
+    // A reply to an order under an older fence may have been overtaken by a
+    // newer one.
     if (!('fence' in phase) || order.fence !== phase.fence) return [];
     if (answer.kind === 'changing') return [];
     if (answer.kind === 'fenced')
-      return answer.highestFence > phase.fence ? this.takeFence(nowMs) : [];
+      return answer.highestFence > phase.fence ? this.requestFence(nowMs) : [];
     const open = this.openOrders.some(
       one => one.targetId === targetId && one.id === order.id
     );
-    if (!open || this.ends.has(targetId)) return [];
+    if (!open || this.pendingEnds.has(targetId)) return [];
     const {fence, id} = order;
     const outcome = answer.kind;
-    this.ends.set(targetId, {kind: 'fleetEnd', fence, id, targetId, outcome});
-    return this.nextEnd(nowMs);
+    this.pendingEnds.set(targetId, {
+      kind: 'fleetEnd',
+      fence,
+      id,
+      targetId,
+      outcome,
+    });
+    return this.recordNextEnd(nowMs);
   }
 
-  private nextEnd(nowMs: number): readonly FleetAction[] {
-    const [end] = this.ends.values();
+  private recordNextEnd(nowMs: number): readonly FleetAction[] {
+    const [end] = this.pendingEnds.values();
     if (this.phase.kind !== 'idle' || end === undefined) return [];
     return this.record(end, nowMs);
   }
 
   private onTick(wanted: boolean, nowMs: number): readonly FleetAction[] {
     const {phase} = this;
-    if (phase.kind === 'resting') return wanted ? this.takeFence(nowMs) : [];
+    if (phase.kind === 'standby') return wanted ? this.requestFence(nowMs) : [];
     const {resendMs, proposeRetryMs} = this.cfg;
-    const waitMs = phase.kind === 'idle' ? resendMs : proposeRetryMs;
-    if (nowMs - this.sentAtMs < waitMs) return [];
-    this.sentAtMs = nowMs;
+    const retryIntervalMs = phase.kind === 'idle' ? resendMs : proposeRetryMs;
+    if (nowMs - this.lastSentAtMs < retryIntervalMs) return [];
+    this.lastSentAtMs = nowMs;
     switch (phase.kind) {
       case 'following':
         return [];
@@ -255,8 +268,8 @@
       case 'reading':
         return this.read(phase.fence);
       case 'idle':
-        return this.sends(phase.fence, this.openOrders);
-      // The same again, never another one: the first may have counted.
+        return this.sendActions(phase.fence, this.openOrders);
+      // Repeats the same command, never another: the first may be recorded.
       case 'recording':
         return [{kind: 'propose', command: phase.command}];
       default:
--- a/src/control/fleet/fleetViews.ts
+++ b/src/control/fleet/fleetViews.ts
@@ -1,4 +1,4 @@
-/** What the decision on models sees, from announcements, rules and the log. */
+/** Builds the input of model planning from announcements, rules and the log. */
 
 import type {Announcement} from '../../core/wire';
 import {workByModel} from '../../policy/fleetDemand';
@@ -9,28 +9,31 @@
 import type {RuleIndex} from '../../rules/ruleIndex';
 import type {FleetState} from './fleetState';
 
-/** Orders for a rule that fail one after the other until none is given. */
-const MAX_FAILURES = 2;
+/** After this many consecutive failures a rule gets no more orders. */
+const MAX_CONSECUTIVE_FAILURES = 2;
 
-/** What is known beside rules, log and announcements. */
-export interface FleetTimes {
+/** Measurements of the leader that are in no rule, log or announcement. */
+export interface FleetEstimates {
   readonly demand: ReadonlyMap<string, number>;
   readonly loadMs: number;
-  /** When the last order to a target ended, as far as this leader saw it. */
+  /** When the last order to each target ended, if this leader recorded it. */
   readonly changedAtMs: ReadonlyMap<string, number>;
   readonly nowMs: number;
 }
 
-/** Targets that orders may go to: a group of ranks holds its model together. */
-export function orderable(
+/**
+ * Targets of a pool that orders may be sent to. Ranks of a group are excluded,
+ * as all ranks of a group hold one model together.
+ */
+export function orderableTargets(
   targets: readonly Announcement[],
   pool: string
 ): readonly Announcement[] {
   return targets.filter(one => one.pool === pool && one.group === undefined);
 }
 
-/** Demand in a pool now, in requests at once by model. */
-export function poolWork(
+/** Current demand in a pool by model, in concurrent requests. */
+export function poolDemand(
   targets: readonly Announcement[],
   rules: RuleIndex,
   pool: string
@@ -39,33 +42,35 @@
   return workByModel(all, rules.warmup(pool).full);
 }
 
-/** The key by which failures of orders are counted. */
+/** The key under which failed orders of a rule are counted. */
 export function ruleKey(rule: ServeRule): string {
   return printRuleWords(rule);
 }
 
-/** The view of one pool. */
+/** The planning input for one pool. */
 export function poolView(
   targets: readonly Announcement[],
   rules: RuleIndex,
   pool: string,
   state: FleetState,
-  times: FleetTimes
+  estimates: FleetEstimates
 ): FleetView {
   const serves = rules.serves(pool);
   const {full, overMs} = rules.warmup(pool);
-  const own = orderable(targets, pool);
+  const orderable = orderableTargets(targets, pool);
   const halted = serves.filter(
-    rule => state.failuresOf(ruleKey(rule)) >= MAX_FAILURES
+    rule => state.failuresOf(ruleKey(rule)) >= MAX_CONSECUTIVE_FAILURES
   );
   return {
     models: serves,
-    targets: own.map(target => fleetTarget(target, rules, state, times)),
+    targets: orderable.map(target =>
+      fleetTarget(target, rules, state, estimates)
+    ),
     open: state.open(),
     halted: new Set(halted.map(({model}) => model)),
     full,
     warmupMs: overMs,
-    ...times,
+    ...estimates,
   };
 }
 
@@ -73,10 +78,10 @@
   target: Announcement,
   rules: RuleIndex,
   state: FleetState,
-  {changedAtMs}: FleetTimes
+  {changedAtMs}: FleetEstimates
 ): FleetTarget {
   const {targetId, availabilityZone, model, modelVersion} = target;
-  const held = state.changedTo(targetId);
+  const lastModel = state.lastModelOf(targetId);
   return {
     targetId,
     availabilityZone,
@@ -87,7 +92,7 @@
       target.limit > 0 &&
       !rules.isZoneOut(availabilityZone),
     temperature: target.temperature,
-    changed: held?.model === model && held?.version === modelVersion,
+    changed: lastModel?.model === model && lastModel?.version === modelVersion,
     changedAtMs: changedAtMs.get(targetId),
     work: target.outstanding + target.queued,
     limit: target.limit,
--- a/src/control/maps/mapController.ts
+++ b/src/control/maps/mapController.ts
@@ -1,4 +1,7 @@
-/** The leader's loop for one group: popularity to plan, plan to switch. */
+/**
+ * The control loop of the leader for the expert map of one group: it plans maps
+ * from the reported popularity of experts and carries out map switches.
+ */
 
 import type {Observable, Subscription} from 'rxjs';
 import {distinctUntilChanged, map, merge, timer} from 'rxjs';
@@ -28,9 +31,9 @@
   SwitchResult,
 } from './mapSwitchEvents';
 
-/** The way to the agents of a group. */
+/** Sends messages to the agents of a group. */
 export interface RankLink {
-  /** Loss is expected; what matters is sent again. */
+  /** Messages may be lost; those that must arrive are sent again. */
   send(rank: number, message: ToRankMessage): void;
 }
 
@@ -42,19 +45,19 @@
   readonly tickMs: number;
 }
 
-/** Whether rules let the group rebalance, and from which gain. */
-export interface RebalancePermit {
+/** Whether rules let the group rebalance and the gain that they require. */
+export interface RebalancePolicy {
   readonly on: boolean;
-  /** Least fall of the skew that starts a load, 0 to 1. */
+  /** Minimum reduction of the load skew that starts a load, 0 to 1. */
   readonly minGain: number;
 }
 
-/** One group's loop on a control instance; idle while that does not lead. */
+/** The loop for one group on a control instance; idle on a follower. */
 export class MapController {
   private readonly machine: MapSwitch;
   private readonly planner: RebalancePlanner;
-  /** Newest report of each rank. */
-  private readonly newest = new Map<number, ExpertCountsReport>();
+  /** Latest report of each rank. */
+  private readonly latestReports = new Map<number, ExpertCountsReport>();
   private readonly step = new StepEstimate();
   private pending?: ExpertMap;
 
@@ -66,7 +69,7 @@
     >,
     private readonly state: MapState,
     private readonly link: RankLink,
-    private readonly permit: () => RebalancePermit,
+    private readonly rebalancePolicy: () => RebalancePolicy,
     private readonly metrics: Metrics,
     private readonly logger: Logger
   ) {
@@ -85,13 +88,13 @@
       this.cfg.tickMs
     ).pipe(map(() => ({kind: 'tick'})));
     return merge(leads, ticks).subscribe(event => {
-      if (event.kind === 'resign') this.forget();
+      if (event.kind === 'resign') this.reset();
       this.handle(event);
       if (event.kind === 'tick') this.plan();
     });
   }
 
-  /** Takes a message of a rank that was validated at the edge. */
+  /** Handles a message from a rank; it has been validated on arrival. */
   receive(message: FromRankMessage): void {
     switch (message.kind) {
       case 'expertCounts':
@@ -99,11 +102,11 @@
       case 'staged':
         return this.onStaged(message);
       case 'refusal':
-        this.step.seen(message.step, performance.now());
+        this.step.record(message.step, performance.now());
         return this.handle({kind: 'message', message});
       case 'join':
-        // Whoever starts anew has no order to load in hand. Waiting for it to
-        // be carried out would stop all further loads of the group meanwhile.
+        // A restarted agent has lost its load orders. If the planner waited for
+        // them, all further loads of the group would be blocked.
         this.planner.restarted(message.rank);
         return this.handle({kind: 'message', message});
       case 'promise':
@@ -114,21 +117,21 @@
     }
   }
 
-  private forget(): void {
+  private reset(): void {
     this.planner.reset();
     this.pending = undefined;
   }
 
   private onCounts(report: ExpertCountsReport): void {
-    const last = this.newest.get(report.rank);
-    // A restarted agent counts from 1 again. Judged by the number alone, its
-    // reports would be dropped for as long as its last boot had run.
+    const last = this.latestReports.get(report.rank);
+    // A restarted agent numbers its reports from 1 again. Compared by number
+    // alone, they would be dropped for as long as the previous boot had run.
     const isLate =
       last?.agentBootId === report.agentBootId && report.seq <= last.seq;
     if (report.group !== this.cfg.group || isLate) return;
-    this.newest.set(report.rank, report);
+    this.latestReports.set(report.rank, report);
     const nowMs = performance.now();
-    this.step.seen(report.step, nowMs);
+    this.step.record(report.step, nowMs);
     const atMs = nowMs - report.ageMs;
     this.planner.observe({atMs, counts: report.counts});
   }
@@ -144,14 +147,18 @@
     const {current} = this.state.group(this.cfg.group);
     const {fence} = this.machine;
     const busy = this.pending === undefined && !this.machine.idle;
-    const {on, minGain} = this.permit();
+    const {on, minGain} = this.rebalancePolicy();
     if (!on || busy || !current || !fence) return;
     const nowMs = performance.now();
     const next = this.planner.next(current.map, this.pending, nowMs, minGain);
     next.stage?.forEach(change => this.stage(change, fence));
     if (next.switchTo === undefined) return;
     this.pending = next.switchTo;
-    this.handle({kind: 'start', map: next.switchTo, step: this.step.at(nowMs)});
+    this.handle({
+      kind: 'start',
+      map: next.switchTo,
+      step: this.step.at(nowMs),
+    });
   }
 
   private stage({rank, slot, expert}: SlotChange, fence: number): void {
@@ -161,10 +168,10 @@
 
   private handle(event: SwitchEvent): void {
     const actions = this.machine.handle(event, performance.now());
-    actions.forEach(action => this.carryOut(action));
+    actions.forEach(action => this.perform(action));
   }
 
-  private carryOut(action: SwitchAction): void {
+  private perform(action: SwitchAction): void {
     switch (action.kind) {
       case 'send':
         return this.link.send(action.rank, action.message);
@@ -188,18 +195,26 @@
     this.metrics.count('map.aborted', {side: 'control', reason});
   }
 
-  /** Without an answer the machine proposes the same again after a while. */
+  /** After a failure the state machine proposes the same command again. */
   private propose(command: FenceCommand | MapDecisionCommand): void {
     this.log.propose(command).then(
-      answer => {
-        if (answer.command === 'fence')
-          this.handle({kind: 'fence', fence: answer.result.fence});
-        if (answer.command !== 'mapDecision' || command.kind === 'fence')
+      applied => {
+        if (applied.command === 'fence')
+          this.handle({kind: 'fence', fence: applied.result.fence});
+        if (applied.command !== 'mapDecision' || command.kind === 'fence')
           return;
         const {version} = command;
-        this.handle({kind: 'decided', version, result: answer.result.kind});
+        this.handle({
+          kind: 'decided',
+          version,
+          result: applied.result.kind,
+        });
       },
-      err => this.logger.info({err, kind: command.kind}, 'proposal lost')
+      err =>
+        this.logger.info(
+          {err, kind: command.kind},
+          'proposal failed; it is repeated while this instance leads'
+        )
     );
   }
 
@@ -209,7 +224,7 @@
         const maps = this.state.group(this.cfg.group);
         this.handle({kind: 'read', seq, maps});
       },
-      err => this.logger.info({err}, 'read barrier not passed')
+      err => this.logger.info({err}, 'read barrier failed; maps not read')
     );
   }
 
@@ -220,7 +235,11 @@
         if (decision === 'undecided') return;
         this.link.send(rank, {kind: 'decision', ...id, decision});
       },
-      err => this.logger.info({err}, 'read barrier not passed')
+      err =>
+        this.logger.info(
+          {err},
+          `read barrier failed; query of rank ${rank} not answered`
+        )
     );
   }
 }
--- a/src/control/maps/mapDirector.ts
+++ b/src/control/maps/mapDirector.ts
@@ -1,4 +1,4 @@
-/** One map controller for each group of ranks that this instance hears of. */
+/** Runs a map controller for each group of ranks in the member table. */
 
 import {Subscription, interval} from 'rxjs';
 import type {Logger} from '../../core/logger';
@@ -13,23 +13,26 @@
 import {AgentClients} from '../agentClients';
 import type {ReplicatedLog} from '../log/replicatedLog';
 import type {MemberTable} from '../memberTable';
-import {RulesInForce} from '../rulesInForce';
+import {CommittedRules} from '../rulesInForce';
 import type {ControlState} from '../state/controlState';
-import {MapController, RebalancePermit} from './mapController';
+import {MapController, RebalancePolicy} from './mapController';
 
 const PERCENT = 100;
-const SCAN_MS = 500;
+const SCAN_INTERVAL_MS = 500;
 const SEND_TIMEOUT_MS = 1_000;
-const TICK_MS = 250;
-/** Steps from the order to the switch: two rounds and a quorum write. */
-const MARGIN_STEPS = 50;
-const MAX_MARGIN_STEPS = 800;
+const TICK_INTERVAL_MS = 250;
+/**
+ * Passes between the prepare message and the switch. They cover two message
+ * rounds and a quorum write.
+ */
+const MARGIN_PASSES = 50;
+const MAX_MARGIN_PASSES = 800;
 const PROMISE_TIMEOUT_MS = 3_000;
-const RESEND_MS = 200;
-const PROPOSE_RETRY_MS = 3_000;
+const RESEND_INTERVAL_MS = 200;
+const PROPOSE_RETRY_INTERVAL_MS = 3_000;
 
-/** What the director works with. */
-export interface MapDirectorParts {
+/** Dependencies of the map manager. */
+export interface MapManagerDependencies {
   readonly instanceId: string;
   readonly log: ReplicatedLog;
   readonly state: ControlState;
@@ -39,34 +42,36 @@
   readonly metrics: Metrics;
 }
 
-/** Starts controllers as groups appear; each idles while this does not lead. */
-export class MapDirector {
+/** Starts a controller for each new group; controllers idle on a follower. */
+export class MapManager {
   private readonly controllers = new Map<string, MapController>();
   private readonly clients: AgentClients;
-  private readonly rules: RulesInForce;
+  private readonly rules: CommittedRules;
 
-  constructor(private readonly parts: MapDirectorParts) {
-    this.clients = new AgentClients(parts.connect);
-    this.rules = new RulesInForce(parts.state.rules);
+  constructor(private readonly dependencies: MapManagerDependencies) {
+    this.clients = new AgentClients(dependencies.connect);
+    this.rules = new CommittedRules(dependencies.state.rules);
   }
 
   start(): Subscription {
-    const all = new Subscription();
-    all.add(interval(SCAN_MS).subscribe(() => this.scan(all)));
-    return all;
+    const subscriptions = new Subscription();
+    subscriptions.add(
+      interval(SCAN_INTERVAL_MS).subscribe(() => this.scan(subscriptions))
+    );
+    return subscriptions;
   }
 
-  /** Takes a message of a rank that was validated at the edge. */
+  /** Handles a message from a rank; it has been validated on arrival. */
   receive(message: FromRankMessage): void {
     this.controllers.get(message.group)?.receive(message);
   }
 
-  private scan(all: Subscription): void {
-    for (const {group, pool} of this.parts.members.listTargets()) {
+  private scan(subscriptions: Subscription): void {
+    for (const {group, pool} of this.dependencies.members.listTargets()) {
       if (group === undefined || this.controllers.has(group.id)) continue;
       const controller = this.create(group, pool);
       this.controllers.set(group.id, controller);
-      all.add(controller.start());
+      subscriptions.add(controller.start());
     }
   }
 
@@ -74,43 +79,43 @@
     {id, ranks, experts, slots}: GroupMember,
     pool: string
   ): MapController {
-    const {parts} = this;
-    const flat = new Array<number>(experts).fill(1);
+    const {dependencies} = this;
+    const uniformPopularity = new Array<number>(experts).fill(1);
     return new MapController(
       {
         group: id,
         ranks,
-        holder: parts.instanceId,
+        holder: dependencies.instanceId,
         initialMap: placeFromScratch(
           evenShape(ranks, experts, slots - experts),
-          flat
+          uniformPopularity
         ),
-        marginSteps: MARGIN_STEPS,
-        maxMarginSteps: MAX_MARGIN_STEPS,
+        marginSteps: MARGIN_PASSES,
+        maxMarginSteps: MAX_MARGIN_PASSES,
         promiseTimeoutMs: PROMISE_TIMEOUT_MS,
-        resendMs: RESEND_MS,
-        proposeRetryMs: PROPOSE_RETRY_MS,
+        resendMs: RESEND_INTERVAL_MS,
+        proposeRetryMs: PROPOSE_RETRY_INTERVAL_MS,
         experts,
         rebalance: REBALANCE_DEFAULTS,
-        tickMs: TICK_MS,
+        tickMs: TICK_INTERVAL_MS,
       },
-      parts.log,
-      parts.state.maps,
+      dependencies.log,
+      dependencies.state.maps,
       {send: (rank, message) => this.send(id, rank, message)},
-      () => this.permit(pool),
-      parts.metrics,
-      parts.logger
+      () => this.rebalancePolicy(pool),
+      dependencies.metrics,
+      dependencies.logger
     );
   }
 
   private send(group: string, rank: number, message: ToRankMessage): void {
     this.deliver(group, rank, message).catch((err: unknown) => {
-      this.parts.logger.debug(
+      this.dependencies.logger.debug(
         {err: String(err), group, rank},
-        'map message not delivered'
+        `could not send ${message.kind} to rank ${rank} of group ${group}`
       );
-      // All else is sent again; a load would be waited for, and with it all
-      // further loads of the group.
+      // Other messages are sent again. A lost load order is reported as failed:
+      // waiting for it would block all further loads of the group.
       if (message.kind !== 'stage') return;
       const {slot, expert} = message;
       this.receive({kind: 'staged', group, rank, slot, expert, ok: false});
@@ -122,15 +127,18 @@
     rank: number,
     message: ToRankMessage
   ): Promise<void> {
-    const target = this.parts.members
+    const target = this.dependencies.members
       .listTargets()
       .find(one => one.group?.id === group && one.group.rank === rank);
-    if (target === undefined) throw new Error('no agent announces that rank');
-    await this.clients.of(target).call(METHODS.map, message, SEND_TIMEOUT_MS);
+    if (target === undefined)
+      throw new Error(`no agent announces rank ${rank} of group ${group}`);
+    await this.clients
+      .clientFor(target)
+      .call(METHODS.map, message, SEND_TIMEOUT_MS);
   }
 
-  /** Off unless a rule says on: moving experts is the operators' choice. */
-  private permit(pool: string): RebalancePermit {
+  /** Rebalancing is off unless a rule enables it; operators decide on it. */
+  private rebalancePolicy(pool: string): RebalancePolicy {
     const rule = this.rules.get()?.rebalance(pool);
     const minGain = (rule?.gainPercent ?? 0) / PERCENT;
     return {on: rule !== undefined, minGain};
--- a/src/control/methods/checkOrderMethod.ts
+++ b/src/control/methods/checkOrderMethod.ts
@@ -1,12 +1,15 @@
-/** Tells agents which order stands, before they let one through. */
+/** Lets an agent check that a model order is open before it applies it. */
 
 import type {OrderCheck, OrderCheckAnswer} from '../../core/fleetMessages';
 import {orderCheck} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
-import {readHere} from './leaderOnly';
+import {awaitReadBarrier} from './leaderOnly';
 
-/** The `checkOrder` method: linearizable, or a late order could pass. */
+/**
+ * The `checkOrder` method. The read is linearizable: a stale read could let a
+ * superseded order pass.
+ */
 export function checkOrderMethod({
   log,
   state,
@@ -17,9 +20,9 @@
   return {
     params: orderCheck,
     handle: async ({targetId}) => {
-      await readHere(log);
+      await awaitReadBarrier(log);
       const {fleet} = state;
-      return {fence: fleet.fence, openId: fleet.openAt(targetId)?.id};
+      return {fence: fleet.fence, openId: fleet.openOrderOf(targetId)?.id};
     },
   };
 }
--- a/src/control/methods/claimMethods.ts
+++ b/src/control/methods/claimMethods.ts
@@ -12,9 +12,9 @@
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
 import type {SettleResult} from '../state/command';
-import {proposeHere, readHere} from './leaderOnly';
+import {proposeCommand, awaitReadBarrier} from './leaderOnly';
 
-/** The `claim` method; a resend under the same request id is the same claim. */
+/** The `claim` method; repeating it with the same request id is safe. */
 export function claimMethod({
   log,
 }: ControlContext): RpcMethod<ClaimRequest, ClaimResult> {
@@ -22,12 +22,12 @@
     params: claimRequest,
     handle: async request => {
       const command = {kind: 'claim', ...request, atMs: Date.now()} as const;
-      return (await proposeHere(log, command)).result;
+      return (await proposeCommand(log, command)).result;
     },
   };
 }
 
-/** The `lookupClaim` method: what the leader has on record, up to date. */
+/** The `lookupClaim` method: a linearizable read of the record of a key. */
 export function lookupMethod({
   log,
   state,
@@ -35,7 +35,7 @@
   return {
     params: lookupRequest,
     handle: async ({customer, key, digest}) => {
-      await readHere(log);
+      await awaitReadBarrier(log);
       return state.claims.lookup(customer, key, digest);
     },
   };
@@ -48,6 +48,6 @@
   return {
     params: settleRequest,
     handle: async request =>
-      (await proposeHere(log, {kind: 'settle', ...request})).result,
+      (await proposeCommand(log, {kind: 'settle', ...request})).result,
   };
 }
--- a/src/control/methods/pollMethod.ts
+++ b/src/control/methods/pollMethod.ts
@@ -1,4 +1,4 @@
-/** Answers polls of entries and agents, each instance for itself alone. */
+/** Handles polls of entries and agents with the state of this instance only. */
 
 import type {PollAnswer, PollRequest} from '../../core/wire';
 import {pollRequest} from '../../rpc/messages';
@@ -28,7 +28,7 @@
     lastRevision: lastRevision(context),
     ...newerRules(context, request),
     announceAgain: request.role === 'agent' ? !known : undefined,
-    usageAgain: takeUsage(context, request, nowMs),
+    usageAgain: recordUsage(context, request, nowMs),
     members:
       request.role === 'entry'
         ? memberChanges(context, request, nowMs)
@@ -36,7 +36,7 @@
   };
 }
 
-function takeUsage(
+function recordUsage(
   {usage}: ControlContext,
   {bootId, usage: rows, usagePart = false}: PollRequest,
   nowMs: number
@@ -45,7 +45,10 @@
   return !usage.report(bootId, rows, usagePart, nowMs);
 }
 
-/** The committed rules, when newer than held, as briefly as it can be said. */
+/**
+ * The committed rules when they are newer than those that the process holds, as
+ * a difference where that is shorter.
+ */
 function newerRules(
   {state, recentRules}: ControlContext,
   {heldRevision, takesDiff}: PollRequest
@@ -58,16 +61,17 @@
 }
 
 /**
- * Counts submissions that are in the log but not known to be committed: they
- * may be accepted already, with this copy as one of the majority.
+ * The highest revision in the log, including submissions that are not known to
+ * be committed. They may already be accepted, with the copy of this instance as
+ * one of the majority.
  */
 function lastRevision({log, state}: ControlContext): number {
-  let last = state.rules.revision;
+  let highest = state.rules.revision;
   for (const command of log.uncommitted()) {
-    if (command.kind === 'submit' && command.revision > last)
-      last = command.revision;
+    if (command.kind === 'submit' && command.revision > highest)
+      highest = command.revision;
   }
-  return last;
+  return highest;
 }
 
 function memberChanges(
--- a/src/control/recentRules.ts
+++ b/src/control/recentRules.ts
@@ -1,34 +1,37 @@
 /**
- * Rule files that processes may still hold, so that a poll is answered with
- * the lines that changed and not with the whole file.
+ * Recent rule files that processes may still hold. With them, the reply to a
+ * poll contains only the lines that changed instead of the whole file.
  */
 
 import type {RuleDiff} from '../core/wire';
 import {RevisedText, diffRules} from '../rules/ruleDiff';
 
-/** A process that is further behind gets the whole file. */
-const KEPT_FILES = 64;
+/** A process that is more revisions behind than this gets the whole file. */
+const MAX_KEPT_FILES = 64;
 
-/** The newest files that this instance has had in force, in memory only. */
+/** The newest rule files that this instance has applied, in memory only. */
 export class RecentRules {
   private readonly texts = new Map<number, string>();
-  /** Differences to `current`, by the revision they start from. */
+  /** Cached differences to `current`, by the revision they apply to. */
   private readonly diffs = new Map<number, RuleDiff>();
   private current: RevisedText = {revision: 0, text: ''};
 
-  /** Notes the file in force now. */
+  /** Records the file that is applied now. */
   note(file: RevisedText): void {
     if (file.revision === this.current.revision) return;
     this.current = file;
     this.texts.set(file.revision, file.text);
     this.diffs.clear();
     for (const revision of this.texts.keys()) {
-      if (this.texts.size <= KEPT_FILES) break;
+      if (this.texts.size <= MAX_KEPT_FILES) break;
       this.texts.delete(revision);
     }
   }
 
-  /** The way from a revision to the file in force, where it is the shorter. */
+  /**
+   * The difference from a revision to the current file. Undefined when the
+   * revision is no longer kept or the difference is not shorter than the file.
+   */
   diffFrom(revision: number): RuleDiff | undefined {
     const known = this.diffs.get(revision);
     if (known !== undefined) return known;
--- a/src/control/state/rulesState.ts
+++ b/src/control/state/rulesState.ts
@@ -1,7 +1,7 @@
 /**
  * The accepted rule files. A submission is a compare-and-set on the revision
- * number, and its result is recorded, so that a resend after a lost answer
- * gets the answer of the first and never a second change.
+ * number and its result is recorded. A submission that is repeated after a lost
+ * reply gets the result of the first and never causes a second change.
  */
 
 import type {SubmitResult} from '../../core/operatorAnswers';
@@ -12,8 +12,8 @@
   readonly submittedBy: string;
 }
 
-/** Accepted submissions that can still be told apart on a resend. */
-const HISTORY_LIMIT = 20_000;
+/** Accepted submissions that are kept to recognize repeated ones. */
+const MAX_HISTORY_LENGTH = 20_000;
 
 /** The replicated state of the rules, as stored in snapshots. */
 export interface RulesSnapshot {
@@ -30,7 +30,7 @@
 
   apply(command: SubmitCommand): SubmitResult {
     const {revision} = command;
-    if (this.mayFollow(revision)) return this.accept(command);
+    if (this.isNextRevision(revision)) return this.accept(command);
     const current = this.revision;
     if (revision > current) return {kind: 'gap', revision, current};
     const accepted = this.history.get(revision);
@@ -62,11 +62,11 @@
   }
 
   /**
-   * The first file may have any number. When every disk of control was lost,
-   * processes still hold the last revision and take none below it: numbered
-   * from 1 again, the operators' files would be accepted and never in force.
+   * The first file may have any revision number. After control has lost all its
+   * disks, processes still hold the last revision and reject lower ones: files
+   * numbered from 1 again would be accepted here but never applied there.
    */
-  private mayFollow(revision: number): boolean {
+  private isNextRevision(revision: number): boolean {
     return this.revision === 0 || revision === this.revision + 1;
   }
 
@@ -75,7 +75,7 @@
     this.revision = revision;
     this.text = command.text;
     this.history.set(revision, {digest, submittedBy});
-    this.history.delete(revision - HISTORY_LIMIT);
+    this.history.delete(revision - MAX_HISTORY_LENGTH);
     return {kind: 'accepted', revision, resent: false};
   }
 }
