--- a/src/agent/agentCore.ts
+++ b/src/agent/agentCore.ts
@@ -1,4 +1,4 @@
-/** The state of one agent and the view of it that its parts share. */
+/** State of one agent, shared by its components. */
 
 import {randomUUID} from 'node:crypto';
 import type {Logger} from '../core/logger';
@@ -25,7 +25,7 @@
 import {PrefixMemory} from './prefixMemory';
 import {TargetState} from './targetState';
 
-/** What the agent is told about its target. */
+/** Settings of the agent for its target. */
 export interface TargetSettings {
   readonly id: string;
   readonly pool: string;
@@ -36,8 +36,8 @@
   readonly drainMs: number;
 }
 
-/** Everything an agent is made of. */
-export interface AgentParts {
+/** Settings and dependencies of an agent. */
+export interface AgentDependencies {
   readonly target: TargetSettings;
   readonly availabilityZone: string;
   readonly host: string;
@@ -46,18 +46,18 @@
   readonly metrics: Metrics;
 }
 
-function memberOf(report: RankReport): GroupMember {
+function toGroupMember(report: RankReport): GroupMember {
   const {id, rank, ranks, experts, slots} = report;
   return {id, rank, ranks, experts, slots};
 }
 
-/** In steps of a tenth, so that noise alone is no news for entries. */
-function toldSlowdown(slowdown: number): number | undefined {
+/** Rounds to tenths, so that noise does not change the announcement. */
+function announcedSlowdown(slowdown: number): number | undefined {
   const tenths = Math.round(slowdown * 10) / 10;
   return tenths > 1 ? tenths : undefined;
 }
 
-/** One agent. */
+/** The agent of one target: admission, target state, and what it announces. */
 export class AgentCore {
   readonly gate: Gate;
   readonly state = new TargetState(performance.now());
@@ -65,7 +65,7 @@
   readonly adapter: TargetAdapter;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Set once the internal port is known. */
+  /** Internal port; set after the server has started to listen. */
   port = 0;
   private guard = new OnceGuard();
   private bootId = randomUUID();
@@ -73,30 +73,30 @@
   private seq = 0;
   private leaving = false;
   private changing = false;
-  private seen: TargetObservation | undefined;
+  private observation: TargetObservation | undefined;
   private sync: ControlSync | undefined;
 
-  constructor(private readonly parts: AgentParts) {
-    this.adapter = parts.adapter;
-    this.logger = parts.logger;
-    this.metrics = parts.metrics;
+  constructor(private readonly dependencies: AgentDependencies) {
+    this.adapter = dependencies.adapter;
+    this.logger = dependencies.logger;
+    this.metrics = dependencies.metrics;
     this.gate = new Gate(
       {
-        targetId: parts.target.id,
+        targetId: dependencies.target.id,
         rules: () => this.rules,
         limit: () => this.limit(),
         refusal: dispatch => this.refusal(dispatch),
       },
-      parts.metrics
+      dependencies.metrics
     );
   }
 
   get targetId(): string {
-    return this.parts.target.id;
+    return this.dependencies.target.id;
   }
 
   get target(): TargetSettings {
-    return this.parts.target;
+    return this.dependencies.target;
   }
 
   get agentBootId(): string {
@@ -111,63 +111,67 @@
     return this.sync?.rules?.index;
   }
 
-  /** Called once, when the link to control exists. */
+  /** Sets the source of rules and freshness; called once. */
   attach(sync: ControlSync): void {
     this.sync = sync;
   }
 
-  /** An entry showed a revision that may be newer than ours. */
+  /** Reports a rule revision that an entry has; it may be newer than ours. */
   sawRevision(revision: number): void {
     this.sync?.sawRevision(revision);
   }
 
   warmup(): WarmupLimits {
-    return this.rules?.warmup(this.parts.target.pool) ?? DEFAULT_WARMUP;
+    return this.rules?.warmup(this.dependencies.target.pool) ?? DEFAULT_WARMUP;
   }
 
   /**
-   * Requests at once now. Without rules nothing may start; asked under the
-   * default ramp meanwhile, the target would be held to its start, since the
-   * rule that then comes looks like one that was changed mid-ramp.
+   * Current concurrency limit. Without rules it is 0, and the ramp is not
+   * queried with the default warmup: the first rule would then look like a
+   * change in the middle of the ramp, and hold the target at the default start.
    */
   private limit(): number {
     if (this.rules === undefined || this.changing) return 0;
     return this.state.limit(this.warmup(), performance.now());
   }
 
-  /** From now on nothing new starts here; there is no way back for this boot. */
+  /** Refuses new and queued requests until the process ends. */
   leave(): void {
     this.leaving = true;
-    this.gate.recheck();
+    this.gate.recheckQueued();
   }
 
-  /** Nothing new starts here until `endChange`; what waits goes elsewhere. */
-  beginChange(): void {
+  /** Refuses new and queued requests until `endModelChange`. */
+  beginModelChange(): void {
     this.changing = true;
-    this.gate.recheck();
+    this.gate.recheckQueued();
   }
 
-  /** `changed`: weights were loaded, so the target is cold however it looks. */
-  endChange(changed: boolean): void {
-    if (changed) this.state.strained(performance.now());
+  /**
+   * `wasLoaded`: weights were loaded, so the target is cold whatever it
+   * reports.
+   */
+  endModelChange(wasLoaded: boolean): void {
+    if (wasLoaded) this.state.restartRamp(performance.now());
     this.changing = false;
-    this.gate.pump();
+    this.gate.admitQueued();
   }
 
-  observed(seen: TargetObservation): void {
-    const before = this.seen;
-    this.seen = seen;
-    // Entries that chose this target for the model it held would get the other
-    // one's answer; under a new boot id their dispatches are refused unrun.
-    const same =
-      seen.model === before?.model &&
-      seen.modelVersion === before?.modelVersion;
-    if (before !== undefined && !same) this.renewBoot();
+  recordObservation(observation: TargetObservation): void {
+    const previous = this.observation;
+    this.observation = observation;
+    // Dispatches in transit were sent for the previous model. A new boot id
+    // makes them be refused before they run, instead of being answered by
+    // another model.
+    const isSameModel =
+      observation.model === previous?.model &&
+      observation.modelVersion === previous?.modelVersion;
+    if (previous !== undefined && !isSameModel) this.renewBoot();
   }
 
-  /** The last look at the target that was answered. */
-  get lastSeen(): TargetObservation | undefined {
-    return this.seen;
+  /** The last successful observation of the target. */
+  get lastObservation(): TargetObservation | undefined {
+    return this.observation;
   }
 
   /** See `OnceGuard.full`. */
@@ -175,7 +179,7 @@
     if (!this.guard.full) return;
     this.logger.info(
       {bootId: this.bootId},
-      'claim record full; taking a new boot id'
+      'claim record is full; renewing the boot id'
     );
     this.renewBoot();
   }
@@ -191,7 +195,7 @@
       {
         targetId: this.targetId,
         agentBootId: this.bootId,
-        availabilityZone: this.parts.availabilityZone,
+        availabilityZone: this.dependencies.availabilityZone,
         leaving: this.leaving,
         changing: this.changing,
         rules: this.rules,
@@ -220,10 +224,10 @@
   }
 
   announcement(): Announcement {
-    const {target, availabilityZone, host} = this.parts;
+    const {target, availabilityZone, host} = this.dependencies;
     const {limit, outstanding, queued, temperature} = this.report(0);
-    const load = this.seen?.load;
-    const group = this.seen?.group;
+    const load = this.observation?.load;
+    const group = this.observation?.group;
     return {
       targetId: target.id,
       pool: target.pool,
@@ -238,11 +242,11 @@
       limit,
       outstanding,
       queued,
-      model: this.seen?.model,
-      modelVersion: this.seen?.modelVersion,
-      group: group === undefined ? undefined : memberOf(group),
+      model: this.observation?.model,
+      modelVersion: this.observation?.modelVersion,
+      group: group === undefined ? undefined : toGroupMember(group),
       tokensInWork: load?.tokensInWork,
-      slowdown: toldSlowdown(this.state.slowdown()),
+      slowdown: announcedSlowdown(this.state.slowdown()),
       loadAgeMs: load?.loadAgeMs,
       prefixes: target.kind === 'engine' ? this.prefixes.newest() : undefined,
     };
--- a/src/agent/agentProcess.ts
+++ b/src/agent/agentProcess.ts
@@ -1,4 +1,4 @@
-/** Starts and drains the agent beside one target. */
+/** Starts, drains and stops the agent of one target. */
 
 import {Subscription, distinctUntilChanged, filter, map, take} from 'rxjs';
 import {newBootId} from '../core/bootId';
@@ -18,11 +18,14 @@
 import type {ModelChange} from './fleet/modelChange';
 import {RankRole} from './maps/rankRole';
 import {TO_RANK} from './maps/toRankSchema';
-import {lookAtTarget, watchTarget} from './targetWatcher';
+import {probeTarget, watchTarget} from './targetWatcher';
 
-const DRAIN_CHECK_MS = 50;
-/** Time in which every entry hears of the leaving: some polls of control. */
-const LEAVE_NOTICE_MS = 2_000;
+const DRAIN_POLL_INTERVAL_MS = 50;
+/**
+ * Lets every entry learn that this agent is leaving; covers several polls of
+ * control.
+ */
+const MIN_LEAVE_NOTICE_MS = 2_000;
 
 /** A running agent. */
 export class AgentProcess {
@@ -62,8 +65,8 @@
       params: fenceClaimRequest,
       handle: request => fenceClaim(core, request),
     });
-    // Open only when it is known that no order is out, see ModelChange.learn.
-    if (target.kind === 'engine') core.beginChange();
+    // The gate opens once no model order is open, see ModelChange.recover.
+    if (target.kind === 'engine') core.beginModelChange();
     core.port = await server.listen();
     const traffic = new PeerTraffic();
     const peerAgent = createPeerAgent(internal.key, process.id);
@@ -72,7 +75,7 @@
     );
     const sync = createSync(settings, instances, core, logger, metrics);
     core.attach(sync);
-    const rankRole = new RankRole(core, instances, () => lookAtTarget(core));
+    const rankRole = new RankRole(core, instances, () => probeTarget(core));
     server.addMethod(METHODS.map, {
       params: TO_RANK,
       handle: message => {
@@ -85,12 +88,12 @@
       params: modelOrder,
       handle: order => modelChange.receive(order),
     });
-    const subscription = watchTarget(core, seen => rankRole.observed(seen));
+    const subscription = watchTarget(core, seen => rankRole.onProbe(seen));
     subscription.add(() => rankRole.stop());
     subscription.add(traffic.report(metrics));
-    subscription.add(recheckOnNewRules(core, sync));
+    subscription.add(recheckQueueOnNewRules(core, sync));
     if (target.kind === 'engine')
-      subscription.add(learnOnFirstRules(core, sync, modelChange));
+      subscription.add(recoverOnFirstRules(core, sync, modelChange));
     sync.start();
     return new AgentProcess(core, server, sync, subscription);
   }
@@ -100,21 +103,25 @@
   }
 
   /**
-   * Lets the work in hand finish, up to the drain time, and takes none that is
-   * new. An entry that has not heard of the leaving yet is refused and goes
-   * elsewhere. For that the port stays open a little even without work: a
-   * dispatch on a connection that closes has an unknown outcome.
+   * Finishes the running requests, for at most the drain time, and refuses new
+   * ones. The port stays open for a minimum time even without requests, so that
+   * an entry that does not know of the drain yet gets a refusal and retries at
+   * another target. A dispatch on a closing connection would have an unknown
+   * outcome.
    */
   async drain(): Promise<void> {
     this.core.leave();
-    const leftAtMs = performance.now();
+    const startedAtMs = performance.now();
     await this.sync.announceNow();
-    const heardAtMs = leftAtMs + LEAVE_NOTICE_MS;
-    const deadlineAt = Math.max(heardAtMs, leftAtMs + this.core.target.drainMs);
+    const noticeEndsAtMs = startedAtMs + MIN_LEAVE_NOTICE_MS;
+    const drainEndsAtMs = Math.max(
+      noticeEndsAtMs,
+      startedAtMs + this.core.target.drainMs
+    );
     const isBusy = () =>
-      this.core.gate.outstanding > 0 || performance.now() < heardAtMs;
-    while (isBusy() && performance.now() < deadlineAt) {
-      await new Promise(resolve => setTimeout(resolve, DRAIN_CHECK_MS));
+      this.core.gate.outstanding > 0 || performance.now() < noticeEndsAtMs;
+    while (isBusy() && performance.now() < drainEndsAtMs) {
+      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_INTERVAL_MS));
     }
     await this.stop();
   }
@@ -149,30 +156,38 @@
   });
 }
 
-/** Without rules nothing starts anyway; with `serve` lines orders may be out. */
-function learnOnFirstRules(
+/**
+ * Reopens the gate after the first rules. Without `serve` lines for the pool
+ * there are no model orders; with them, one may still be open. Before the first
+ * rules nothing may start in any case.
+ */
+function recoverOnFirstRules(
   core: AgentCore,
   sync: ControlSync,
   modelChange: ModelChange
 ): Subscription {
   return sync.rules$
     .pipe(
-      filter(held => held !== undefined),
+      filter(rules => rules !== undefined),
       take(1)
     )
     .subscribe(({index}) => {
-      if (index.serves(core.target.pool).length === 0) core.endChange(false);
-      else void modelChange.learn();
+      if (index.serves(core.target.pool).length === 0)
+        core.endModelChange(false);
+      else void modelChange.recover();
     });
 }
 
-/** Queued work must not start, nor wait on, under rules that bar it. */
-function recheckOnNewRules(core: AgentCore, sync: ControlSync): Subscription {
+/** Refuses queued requests that new rules no longer admit. */
+function recheckQueueOnNewRules(
+  core: AgentCore,
+  sync: ControlSync
+): Subscription {
   return sync.rules$
     .pipe(
-      filter(held => held !== undefined),
-      map(held => held.revision),
+      filter(rules => rules !== undefined),
+      map(rules => rules.revision),
       distinctUntilChanged()
     )
-    .subscribe(() => core.gate.recheck());
+    .subscribe(() => core.gate.recheckQueued());
 }
--- a/src/agent/dispatchHandler.ts
+++ b/src/agent/dispatchHandler.ts
@@ -1,4 +1,4 @@
-/** Takes dispatches of entries at the wire and brings them to the target. */
+/** Handles the dispatches that entries send to the agent's internal port. */
 
 import {IncomingMessage, ServerResponse} from 'node:http';
 import * as z from 'zod';
@@ -30,13 +30,16 @@
 
 const HTTP_UNAVAILABLE = 503;
 
-/** The handler for everything that is no RPC on the agent's internal port. */
+/** Creates the handler for requests on the internal port that are not RPCs. */
 export function dispatchHandler(
   core: AgentCore
 ): (req: IncomingMessage, res: ServerResponse) => void {
   return (req, res) => {
     handle(core, req, res).catch((err: unknown) => {
-      core.logger.error({err: String(err)}, 'dispatch failed');
+      core.logger.error(
+        {err: String(err)},
+        'unexpected error while serving a dispatch; its connection is closed'
+      );
       res.destroy();
     });
   };
@@ -55,26 +58,29 @@
   } catch (err) {
     if (!(err instanceof RefusalError)) throw err;
     core.logger.info({requestId, refusal: err.refusal}, 'refused');
-    answerRefusal(core, res, err.refusal);
+    sendRefusal(core, res, err.refusal);
   }
 }
 
-/** Fields may mean something else in another version: nothing is guessed. */
-function assertVersion(core: AgentCore, req: IncomingMessage): void {
-  const theirs = String(req.headers[PROTOCOL_HEADER]);
-  if (theirs === PROTOCOL_VERSION) return;
+/** Refuses another protocol version, whose fields may have another meaning. */
+function assertProtocolVersion(core: AgentCore, req: IncomingMessage): void {
+  const entryVersion = String(req.headers[PROTOCOL_HEADER]);
+  if (entryVersion === PROTOCOL_VERSION) return;
   core.metrics.count('peer.rejected', {reason: 'version'});
-  core.logger.warn({theirs}, 'dispatch in another protocol version');
+  core.logger.warn(
+    {theirs: entryVersion},
+    `refused a dispatch in protocol version ${entryVersion}; this agent has ${PROTOCOL_VERSION}`
+  );
   throw refuse(
     'peer-version',
     'gate',
     core.targetId,
-    `version ${theirs}, here ${PROTOCOL_VERSION}`
+    `version ${entryVersion}, here ${PROTOCOL_VERSION}`
   );
 }
 
 function parseDispatch(core: AgentCore, req: IncomingMessage): Dispatch {
-  assertVersion(core, req);
+  assertProtocolVersion(core, req);
   const header = req.headers[DISPATCH_HEADER];
   try {
     return dispatchSchema.parse(JSON.parse(String(header)));
@@ -89,7 +95,7 @@
   }
 }
 
-function answerRefusal(
+function sendRefusal(
   core: AgentCore,
   res: ServerResponse,
   refusal: Refusal
--- a/src/agent/fenceClaim.ts
+++ b/src/agent/fenceClaim.ts
@@ -1,10 +1,10 @@
-/** Answers what became of a claim, so that nobody has to guess. */
+/** Tells an entry definitely whether a claim has run at this agent. */
 
 import type {FenceClaimAnswer, FenceClaimRequest} from '../rpc/messages';
 import type {AgentCore} from './agentCore';
 import {claimIdOf} from './onceGuard';
 
-/** Bars the claim for good if it has not run in this boot. */
+/** Fences the claim permanently if it has not started in this boot. */
 export function fenceClaim(
   core: AgentCore,
   request: FenceClaimRequest
--- a/src/agent/fleet/modelChange.ts
+++ b/src/agent/fleet/modelChange.ts
@@ -1,8 +1,8 @@
 /**
- * The agent's side of an order for a model. The target takes nothing new while
- * it changes, and the order reaches it only after its work has ended and the
- * leader has confirmed that the order still stands: the target itself may obey
- * whatever it is sent.
+ * Carries out orders to load another model. The gate is closed during a change.
+ * The order is sent to the target only after its running requests have ended
+ * and the leader has confirmed that the order is still open, since the target
+ * itself may accept outdated orders.
  */
 
 import type {
@@ -17,111 +17,116 @@
   TargetOrder,
 } from '../../target/targetAdapter';
 
-/** What a change works with. */
-export interface ChangeLink {
-  /** From now on nothing new starts at the target. */
+/** The agent's gate, target and leader, as a model change uses them. */
+export interface ModelChangeContext {
+  /** Closes the gate: nothing new starts at the target. */
   close(): void;
-  /** Work may start again; `changed`: the target is cold. */
+  /** Opens the gate; `changed`: weights were loaded, so the target is cold. */
   reopen(changed: boolean): void;
-  /** Requests in hand at this agent. */
+  /** Requests of this agent that are running. */
   outstanding(): number;
-  look(): Promise<TargetObservation>;
+  observe(): Promise<TargetObservation>;
   order(order: TargetOrder): Promise<OrderAnswer>;
-  /** Asks the leader which order stands; rejects when there is none. */
-  check(): Promise<OrderCheckAnswer>;
+  /** Asks the leader which order is open; rejects when no leader responds. */
+  checkOrder(): Promise<OrderCheckAnswer>;
   pause(): Promise<void>;
   nowMs(): number;
 }
 
-/** A load that takes longer has failed. */
-const LOAD_LIMIT_MS = 30 * 60_000;
+/** A load that takes longer counts as failed. */
+const LOAD_TIMEOUT_MS = 30 * 60_000;
 const CHANGING: ModelOrderAnswer = {kind: 'changing'};
 
-/** `dropped`: not carried out and not over; the leader sends it again. */
+/**
+ * `dropped`: abandoned without a result; an order that is still open is resent.
+ */
 type Outcome = ModelOrderAnswer | 'dropped';
 
-/** One target's orders, one at a time. */
+/** Handles the model orders of one target, one at a time. */
 export class ModelChange {
   private fence = 0;
-  private last: {readonly id: number; answer: ModelOrderAnswer} | undefined;
+  private lastOrder:
+    {readonly id: number; answer: ModelOrderAnswer} | undefined;
 
-  constructor(private readonly link: ChangeLink) {}
+  constructor(private readonly context: ModelChangeContext) {}
 
   /**
-   * Called once at the start, with the gate shut. An earlier boot of the agent
-   * may have let an order through that the target still carries out; work that
-   * starts meanwhile would end under another model.
+   * Called once at the start, with the gate closed; opens it when no order is
+   * open. An earlier agent boot may have sent an order that the target is still
+   * carrying out, and requests that start meanwhile would end under another
+   * model.
    */
-  async learn(): Promise<void> {
-    while (this.last === undefined) {
-      const known = await this.link.check().catch(() => undefined);
-      this.fence = Math.max(this.fence, known?.fence ?? 0);
-      // The order itself opens the gate when it ends.
-      if (this.last !== undefined) return;
-      if (known !== undefined && known.openId === undefined)
-        return this.link.reopen(false);
-      await this.link.pause();
+  async recover(): Promise<void> {
+    while (this.lastOrder === undefined) {
+      const check = await this.context.checkOrder().catch(() => undefined);
+      this.fence = Math.max(this.fence, check?.fence ?? 0);
+      // An order arrived meanwhile; its end opens the gate.
+      if (this.lastOrder !== undefined) return;
+      if (check !== undefined && check.openId === undefined)
+        return this.context.reopen(false);
+      await this.context.pause();
     }
   }
 
-  /** Repeats are expected; the answer tells how far the order is. */
+  /** Starts the order, or returns its state if it is a repeat. */
   receive(order: ModelOrder): ModelOrderAnswer {
     if (order.fence < this.fence)
       return {kind: 'fenced', highestFence: this.fence};
     this.fence = order.fence;
-    const {last} = this;
-    if (last?.id === order.id) return last.answer;
-    if (last?.answer.kind === 'changing') return CHANGING;
-    this.last = {id: order.id, answer: CHANGING};
+    const {lastOrder} = this;
+    if (lastOrder?.id === order.id) return lastOrder.answer;
+    if (lastOrder?.answer.kind === 'changing') return CHANGING;
+    this.lastOrder = {id: order.id, answer: CHANGING};
     void this.run(order);
     return CHANGING;
   }
 
   private async run(order: ModelOrder): Promise<void> {
     const outcome = await this.change(order).catch((): Outcome => 'dropped');
-    this.link.reopen(outcome !== 'dropped' && outcome.kind === 'done');
-    this.last =
+    this.context.reopen(outcome !== 'dropped' && outcome.kind === 'done');
+    this.lastOrder =
       outcome === 'dropped' ? undefined : {id: order.id, answer: outcome};
   }
 
   private async change(order: ModelOrder): Promise<Outcome> {
-    this.link.close();
-    // Taken over from an earlier leader or agent, it may be done already.
-    if (holds(await this.ready(), order)) return {kind: 'done'};
-    await this.workEnded();
-    const {fence, openId} = await this.link.check();
+    this.context.close();
+    // An earlier leader or agent boot may have completed the order already.
+    if (isServing(await this.waitUntilReady(), order)) return {kind: 'done'};
+    await this.waitUntilIdle();
+    const {fence, openId} = await this.context.checkOrder();
     this.fence = Math.max(this.fence, fence);
-    // A leader that was replaced may have sent this long ago; what it wanted
-    // since may be the opposite, and no one else would stop it.
+    // A replaced leader may have sent this order long ago, and it may have been
+    // superseded. No later check would stop it.
     if (openId !== order.id) return 'dropped';
-    return this.carryOut(order, fence);
+    return this.loadModel(order, fence);
   }
 
-  /** What this agent sent, and what an earlier boot of it may have sent. */
-  private async workEnded(): Promise<void> {
-    while (this.link.outstanding() > 0) await this.link.pause();
-    const endedAtMs = this.link.nowMs();
+  /** Waits for the requests of this agent boot and of earlier ones. */
+  private async waitUntilIdle(): Promise<void> {
+    while (this.context.outstanding() > 0) await this.context.pause();
+    const endedAtMs = this.context.nowMs();
     for (;;) {
-      const {load} = await this.link.look();
+      const {load} = await this.context.observe();
       if (load === undefined) return;
-      const isNew = this.link.nowMs() - load.loadAgeMs >= endedAtMs;
-      if (isNew && load.running + load.waiting === 0) return;
-      await this.link.pause();
+      const isMeasuredAfterEnd =
+        this.context.nowMs() - load.loadAgeMs >= endedAtMs;
+      if (isMeasuredAfterEnd && load.running + load.waiting === 0) return;
+      await this.context.pause();
     }
   }
 
-  private async carryOut(wanted: ModelOrder, fence: number): Promise<Outcome> {
+  private async loadModel(wanted: ModelOrder, fence: number): Promise<Outcome> {
     const {model, modelVersion} = wanted;
     const load = {kind: 'loadModel', fence, model, modelVersion} as const;
-    const answer = await this.answerTo(load);
+    const answer = await this.sendUntilAnswered(load);
     switch (answer.kind) {
       case 'done': {
-        const seen = await this.ready();
-        if (holds(seen, wanted)) return {kind: 'done'};
-        const held = `${seen.model} ${seen.modelVersion}`;
-        return {kind: 'failed', detail: `the target holds ${held}`};
+        const observation = await this.waitUntilReady();
+        if (isServing(observation, wanted)) return {kind: 'done'};
+        const actualModel = `${observation.model} ${observation.modelVersion}`;
+        return {kind: 'failed', detail: `the target holds ${actualModel}`};
       }
-      // A newer leader has been here: it will send what it wants.
+      // A newer leader has sent an order; it resends what is still open.
       case 'fenced':
         return 'dropped';
       case 'failed':
@@ -134,33 +139,37 @@
   }
 
   /**
-   * An order without an answer may still be obeyed at any time, so the gate
-   * stays shut and the target is told again: loading the same twice is safe.
+   * An order without a response may still take effect at any time, so the gate
+   * stays closed and the order is resent. Loading the same model twice is safe.
    */
-  private async answerTo(order: TargetOrder): Promise<OrderAnswer> {
-    const deadlineAt = this.link.nowMs() + LOAD_LIMIT_MS;
+  private async sendUntilAnswered(order: TargetOrder): Promise<OrderAnswer> {
+    const deadlineAt = this.context.nowMs() + LOAD_TIMEOUT_MS;
     for (;;) {
-      const answer = await this.link.order(order).catch(() => undefined);
+      const answer = await this.context.order(order).catch(() => undefined);
       if (answer !== undefined) return answer;
-      if (this.link.nowMs() >= deadlineAt)
-        throw new Error('the target answers no order');
-      await this.link.pause();
+      if (this.context.nowMs() >= deadlineAt)
+        throw new Error(
+          'the target did not respond to the order within the load timeout'
+        );
+      await this.context.pause();
     }
   }
 
-  /** Rejects when the target is not ready in the longest time of a load. */
-  private async ready(): Promise<TargetObservation> {
-    const deadlineAt = this.link.nowMs() + LOAD_LIMIT_MS;
+  /** Rejects when the target is not ready within the load timeout. */
+  private async waitUntilReady(): Promise<TargetObservation> {
+    const deadlineAt = this.context.nowMs() + LOAD_TIMEOUT_MS;
     for (;;) {
-      const seen = await this.link.look().catch(() => undefined);
-      if (seen?.state === 'ready') return seen;
-      if (this.link.nowMs() >= deadlineAt)
-        throw new Error('the target is not ready in time');
-      await this.link.pause();
+      const observation = await this.context.observe().catch(() => undefined);
+      if (observation?.state === 'ready') return observation;
+      if (this.context.nowMs() >= deadlineAt)
+        throw new Error(
+          'the target did not become ready within the load timeout'
+        );
+      await this.context.pause();
     }
   }
 }
 
-function holds(seen: TargetObservation, order: ModelOrder): boolean {
+function isServing(seen: TargetObservation, order: ModelOrder): boolean {
   return seen.model === order.model && seen.modelVersion === order.modelVersion;
 }
--- a/src/agent/gate.ts
+++ b/src/agent/gate.ts
@@ -1,6 +1,6 @@
 /**
- * Lets requests through to the target: one fair queue for what all entries
- * together send, and never more at once than the target bears now.
+ * Admits requests to the target: a fair queue across all entries, and no more
+ * concurrent requests than the target's current limit.
  */
 
 import type {CancelSignal} from '../core/cancellation';
@@ -13,44 +13,44 @@
 
 const MAX_QUEUED = 256;
 const MAX_QUEUED_PER_CUSTOMER = 128;
-/** A shorter stay in the queue is no wait. */
-const QUEUED_MS = 1;
-const QUEUE_RETRY_MS = 500;
+/** Requests admitted sooner than this are not counted as queued. */
+const MIN_COUNTED_WAIT_MS = 1;
+const QUEUE_FULL_RETRY_AFTER_MS = 500;
 
-/** What the gate asks its surroundings, fresh at each decision. */
+/** What the gate reads from its agent, at each decision. */
 export interface GateView {
   readonly targetId: string;
   rules(): RuleIndex | undefined;
-  /** Requests that may run at once now. */
+  /** Current concurrency limit of the target. */
   limit(): number;
   /** See `admissionRefusal`. */
   refusal(dispatch: Dispatch): Refusal | undefined;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly dispatch: Dispatch;
   admit(inCredit: boolean): void;
   fail(err: RefusalError): void;
 }
 
-/** A request's place at the target; released exactly once. */
+/** One concurrent request at the target; only the first release counts. */
 export interface Slot {
   /** Milliseconds spent in the queue. */
   readonly queuedMs: number;
-  /** Whether the customer has used less than its share here. */
+  /** Whether the customer has used less than its fair share at this target. */
   readonly inCredit: boolean;
-  /** `servedMs` only after a good answer. */
+  /** `servedMs`: time at the target; only after a complete response. */
   release(servedMs?: number): void;
 }
 
 /** The queue and the slots of one target. */
 export class Gate {
-  private readonly queue = new FairQueue<Waiting>({
+  private readonly queue = new FairQueue<WaitingRequest>({
     maxQueued: MAX_QUEUED,
     maxQueuedPerCustomer: MAX_QUEUED_PER_CUSTOMER,
   });
   private running = 0;
-  private expiry: NodeJS.Timeout | undefined;
+  private expiryTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly view: GateView,
@@ -65,73 +65,88 @@
     return this.queue.size;
   }
 
-  /** Resolves when the request may start; rejects with RefusalError. */
-  enter(dispatch: Dispatch, signal: CancelSignal): Promise<Slot> {
+  /**
+   * Resolves with a slot when the request may start; rejects with RefusalError.
+   */
+  acquire(dispatch: Dispatch, signal: CancelSignal): Promise<Slot> {
     const refusal = this.view.refusal(dispatch);
     if (refusal !== undefined) return Promise.reject(new RefusalError(refusal));
     const enteredAtMs = performance.now();
     return new Promise((resolve, reject) => {
-      let waits = true;
-      const waiting: Waiting = {
+      let isWaiting = true;
+      const waiting: WaitingRequest = {
         dispatch,
         admit: inCredit => {
-          waits = false;
+          isWaiting = false;
           const queuedMs = performance.now() - enteredAtMs;
-          if (queuedMs >= QUEUED_MS) this.metrics.count('gate.queued');
+          if (queuedMs >= MIN_COUNTED_WAIT_MS)
+            this.metrics.count('gate.queued');
           resolve(this.slot(dispatch, queuedMs, inCredit));
         },
         fail: reject,
       };
-      this.offer(waiting, enteredAtMs);
-      // Most start at once, and have nothing to abandon.
-      if (!waits) return;
+      this.enqueue(waiting, enteredAtMs);
+      // Admitted at once: there is no queued request to cancel.
+      if (!isWaiting) return;
       signal.addEventListener(
         'abort',
-        () => this.abandon(dispatch.requestId, reject),
+        () => this.cancelQueued(dispatch.requestId, reject),
         {once: true}
       );
     });
   }
 
-  /** Starts what may start now; called whenever the limit may have grown. */
-  pump(): void {
-    this.expire();
+  /**
+   * Admits queued requests up to the limit; called when the limit may have
+   * grown.
+   */
+  admitQueued(): void {
+    this.expireQueued();
     for (;;) {
       const freeSlots = this.view.limit() - this.running;
       const item = this.queue.take(performance.now(), freeSlots);
       if (item === undefined) break;
-      this.start(item);
+      this.admitItem(item);
     }
     this.scheduleExpiry();
   }
 
-  /** Refuses all that waits and may no longer start, as when a zone goes out. */
-  recheck(): void {
+  /**
+   * Refuses queued requests that may no longer start, such as in a zone that is
+   * out.
+   */
+  recheckQueued(): void {
     for (const item of this.queue.waiting()) {
       const refusal = this.view.refusal(item.payload.dispatch);
       if (refusal === undefined) continue;
       this.queue.remove(item.id);
       item.payload.fail(new RefusalError(refusal));
     }
-    this.pump();
+    this.admitQueued();
   }
 
-  private offer(waiting: Waiting, nowMs: number): void {
+  private enqueue(waiting: WaitingRequest, nowMs: number): void {
     const {dispatch} = waiting;
     const rule = this.view.rules()?.customerRule(dispatch.customer);
-    if (this.isOverOwnQueue(dispatch.customer, rule)) {
+    if (this.isCustomerQueueFull(dispatch.customer, rule)) {
       const detail = `the customer has ${rule?.queue} queued here already`;
       const {targetId} = this.view;
       waiting.fail(
-        refuse('customer-limit', 'gate', targetId, detail, QUEUE_RETRY_MS)
+        refuse(
+          'customer-limit',
+          'gate',
+          targetId,
+          detail,
+          QUEUE_FULL_RETRY_AFTER_MS
+        )
       );
       return;
     }
-    this.offerItem(queueItem(waiting, rule, nowMs), nowMs);
-    this.pump();
+    this.offerItem(toQueueItem(waiting, rule, nowMs), nowMs);
+    this.admitQueued();
   }
 
-  private offerItem(item: QueueItem<Waiting>, nowMs: number): void {
+  private offerItem(item: QueueItem<WaitingRequest>, nowMs: number): void {
     const result = this.queue.offer(item, nowMs);
     if (result.kind === 'queued') return;
     const {reason, retryAfterMs} = result;
@@ -146,17 +161,24 @@
     );
   }
 
-  private isOverOwnQueue(customer: string, rule: CustomerRule | undefined) {
+  private isCustomerQueueFull(
+    customer: string,
+    rule: CustomerRule | undefined
+  ) {
     if (rule?.queue === undefined) return false;
     // A request that can start at once does not count as queued.
-    const free = this.view.limit() - this.running - this.queue.size;
-    if (free > 0) return false;
-    const own = this.queue.waiting().filter(item => item.customer === customer);
-    return own.length >= rule.queue;
+    const freeSlots = this.view.limit() - this.running - this.queue.size;
+    if (freeSlots > 0) return false;
+    const customerItems = this.queue
+      .waiting()
+      .filter(item => item.customer === customer);
+    return customerItems.length >= rule.queue;
   }
 
-  /** Rules may have changed while the request waited: judged again. */
-  private start(item: QueueItem<Waiting>): void {
+  /**
+   * Checks the request again, since rules may have changed while it was queued.
+   */
+  private admitItem(item: QueueItem<WaitingRequest>): void {
     const refusal = this.view.refusal(item.payload.dispatch);
     if (refusal !== undefined) {
       this.queue.finished(item.customer);
@@ -179,12 +201,12 @@
         this.running--;
         this.queue.finished(dispatch.customer);
         if (servedMs !== undefined) this.queue.served(dispatch.cost, servedMs);
-        this.pump();
+        this.admitQueued();
       },
     };
   }
 
-  private abandon(requestId: string, reject: (err: Error) => void): void {
+  private cancelQueued(requestId: string, reject: (err: Error) => void): void {
     if (this.queue.remove(requestId) === undefined) return;
     reject(
       refuse(
@@ -196,7 +218,7 @@
     );
   }
 
-  private expire(): void {
+  private expireQueued(): void {
     for (const item of this.queue.expire(performance.now())) {
       item.payload.fail(
         refuse(
@@ -209,23 +231,23 @@
     }
   }
 
-  /** A request that waited in vain gets its answer at once, not at the next event. */
+  /** Refuses an expired request at its deadline, not only at the next event. */
   private scheduleExpiry(): void {
-    clearTimeout(this.expiry);
-    const at = this.queue.nextExpiryAt();
-    if (at === Infinity) return;
-    this.expiry = setTimeout(
-      () => this.pump(),
-      Math.max(1, at - performance.now())
+    clearTimeout(this.expiryTimer);
+    const nextExpiryAtMs = this.queue.nextExpiryAt();
+    if (nextExpiryAtMs === Infinity) return;
+    this.expiryTimer = setTimeout(
+      () => this.admitQueued(),
+      Math.max(1, nextExpiryAtMs - performance.now())
     );
   }
 }
 
-function queueItem(
-  waiting: Waiting,
+function toQueueItem(
+  waiting: WaitingRequest,
   rule: CustomerRule | undefined,
   nowMs: number
-): QueueItem<Waiting> {
+): QueueItem<WaitingRequest> {
   const {dispatch} = waiting;
   return {
     id: dispatch.requestId,
--- a/src/agent/maps/rankController.ts
+++ b/src/agent/maps/rankController.ts
@@ -1,4 +1,4 @@
-/** Carries the messages of control to the rank's engine and back. */
+/** Connects control, the switch state machine of one rank, and its engine. */
 
 import type {Observable, Subscription} from 'rxjs';
 import {
@@ -20,26 +20,29 @@
 import type {RankAction, RankEvent, RankSwitchConfig} from './rankSwitchEvents';
 import {RankSwitch} from './rankSwitch';
 
-/** What the rank side needs of the way to control. */
+/** Sends the rank's messages to control. */
 export interface ControlLink {
-  /** Sends to every control instance known; loss is expected. */
+  /** Sends to every known control instance; messages may be lost. */
   send(message: FromRankMessage): void;
 }
 
-/** Settings of the loop. */
+/** Settings of the controller and its state machine. */
 export interface RankControllerConfig extends RankSwitchConfig {
-  /** Time between two looks at the engine, milliseconds. */
+  /** Interval of the engine observations, milliseconds. */
   readonly observeMs: number;
 }
 
 type EngineAction = Exclude<RankAction, {kind: 'send'}>;
 type StageAction = Extract<EngineAction, {kind: 'stageEngine'}>;
-type SwitchOrder = Exclude<EngineAction, StageAction>;
+type SerialAction = Exclude<EngineAction, StageAction>;
 
-/** One rank's loop: engine views, messages and time go in, orders come out. */
+/**
+ * Feeds engine views, messages and ticks to the state machine; executes its
+ * actions.
+ */
 export class RankController {
   private readonly machine: RankSwitch;
-  private readonly orders = new Subject<SwitchOrder>();
+  private readonly orders = new Subject<SerialAction>();
   private readonly loads = new Subject<StageAction>();
 
   constructor(
@@ -52,7 +55,7 @@
     this.machine = new RankSwitch(cfg);
   }
 
-  /** Whether the engine takes part in steps and orders are accepted. */
+  /** Whether the engine takes part in passes and the rank accepts orders. */
   get ready(): boolean {
     return this.machine.ready;
   }
@@ -64,20 +67,18 @@
     const ticks = timer(this.cfg.retryMs, this.cfg.retryMs).pipe(
       map((): RankEvent => ({kind: 'tick'}))
     );
-    // One order at a time: an engine that got two at once could take an
-    // older one for the newer. Loads stand in a line of their own, since they
-    // promise nothing: behind one, a decision would come seconds late, and all
-    // ranks of the group would stand at their barrier until then.
-    const results = this.orders.pipe(
-      concatMap(action => this.carryOut(action))
-    );
-    const loaded = this.loads.pipe(concatMap(action => this.carryOut(action)));
+    // One order at a time: of two concurrent orders, the engine could apply the
+    // older one last. Weight loads have their own queue, since no promise
+    // depends on them: a decision queued behind one would be seconds late, and
+    // all ranks of the group would hold at their barrier until then.
+    const results = this.orders.pipe(concatMap(action => this.execute(action)));
+    const loaded = this.loads.pipe(concatMap(action => this.execute(action)));
     return merge(views, ticks, results, loaded).subscribe(event =>
       this.handle(event)
     );
   }
 
-  /** Takes a message of control that was validated at the edge. */
+  /** Handles a message from control that was validated on arrival. */
   receive(message: ToRankMessage): void {
     this.handle({kind: 'message', message});
   }
@@ -109,24 +110,31 @@
     return defer(() => from(this.engine.observe())).pipe(
       map((view): RankEvent => ({kind: 'engine', view})),
       catchError(err => {
-        this.logger.debug({err}, 'engine did not answer');
+        this.logger.debug(
+          {err},
+          `could not observe the engine of rank ${this.cfg.rank} in group ${this.cfg.group}`
+        );
         return EMPTY;
       })
     );
   }
 
-  private carryOut(action: EngineAction): Observable<RankEvent> {
+  private execute(action: EngineAction): Observable<RankEvent> {
     return defer(() => from(this.order(action))).pipe(
       concatMap(event => (event ? [event] : [])),
       catchError(err => {
-        this.logger.warn({err, order: action.kind}, 'order failed');
-        return failureOf(action);
+        this.logger.warn(
+          {err, order: action.kind},
+          `order ${action.kind} to the engine of rank ${this.cfg.rank} in group ${this.cfg.group} failed`
+        );
+        return failureEvents(action);
       })
     );
   }
 
   private async order(action: EngineAction): Promise<RankEvent | undefined> {
-    // Taken before the order: an answer of a boot that is over counts nothing.
+    // The boot id is read before the order is sent, so that the state machine
+    // can ignore the response if the engine restarts meanwhile.
     switch (action.kind) {
       case 'startEngine': {
         const {bootId} = await this.engine.observe();
@@ -150,12 +158,12 @@
   }
 }
 
-/** What the machine is told of an order whose outcome is not known. */
-function failureOf(action: EngineAction): readonly RankEvent[] {
+/** Events that report an order with an unknown outcome to the state machine. */
+function failureEvents(action: EngineAction): readonly RankEvent[] {
   switch (action.kind) {
     case 'stageEngine':
       return [{kind: 'staged', order: action.order, ok: false}];
-    // If the engine holds after all, the next look at it shows that.
+    // If the engine holds after all, the next observation shows it.
     case 'prepareEngine':
       return [{kind: 'prepareLost', version: action.order.version}];
     case 'startEngine':
--- a/src/agent/maps/rankEngine.ts
+++ b/src/agent/maps/rankEngine.ts
@@ -1,4 +1,4 @@
-/** What the rank side needs of the engine beside it. */
+/** Interface of the rank controller to its engine. */
 
 import type {
   CommittedMap,
@@ -8,15 +8,15 @@
 } from '../../core/mapMessages';
 import type {EngineView, PrepareResult} from './rankSwitchEvents';
 
-/** The maps with which a rank that has just started is to run. */
+/** The maps for a rank that has just started. */
 export interface StartOrder {
   readonly fence: number;
   readonly current: CommittedMap;
-  /** For steps below `current.switchStep`. */
+  /** For passes before `current.switchStep`. */
   readonly previous?: CommittedMap;
 }
 
-/** What became of a switch; its own fence may be older than `fence`. */
+/** The decision on a switch; `fence` may be newer than that of the switch. */
 export interface DecideOrder {
   readonly id: SwitchId;
   readonly fence: number;
@@ -24,15 +24,15 @@
 }
 
 /**
- * One engine. Calls reject when the outcome is not known. An engine that has
- * just started runs no step before `startMap`, and once it has answered `held`
- * it runs none from the switch step on before `decideMap`.
+ * One engine. Calls reject when the outcome is unknown. An engine that has just
+ * started runs no pass before `startMap`. After `prepareMap` has returned
+ * `held`, it runs no pass from the switch step on before `decideMap`.
  */
 export interface RankEngine {
   observe(): Promise<EngineView>;
-  /** Has no effect on an engine that already runs. */
+  /** Has no effect on an engine that is already running. */
   startMap(order: StartOrder): Promise<void>;
-  /** Loads weights beside those in use. */
+  /** Loads weights in addition to those in use. */
   stageExpert(order: StageMessage): Promise<void>;
   prepareMap(order: PrepareMessage): Promise<PrepareResult>;
   decideMap(order: DecideOrder): Promise<void>;
--- a/src/agent/maps/rankRole.ts
+++ b/src/agent/maps/rankRole.ts
@@ -1,4 +1,6 @@
-/** Gives the agent of a rank its part in the group's maps, once it is known. */
+/**
+ * The agent's part in a rank group: map switches and reports of expert counts.
+ */
 
 import {Subscription} from 'rxjs';
 import type {
@@ -14,13 +16,16 @@
 import {TargetRankEngine} from './targetRankEngine';
 
 const SEND_TIMEOUT_MS = 1_000;
-const RETRY_MS = 200;
-const OBSERVE_MS = 100;
-/** An order that has not taken effect by then never will: see adapters. */
-const QUIET_MS = 2_500;
-const COUNTS_PERIOD_MS = 1_000;
+const RETRY_INTERVAL_MS = 200;
+const OBSERVE_INTERVAL_MS = 100;
+/**
+ * An order takes effect within this time or never; more than ORDER_TIMEOUT_MS
+ * of TargetRankEngine.
+ */
+const MAX_ORDER_DELAY_MS = 2_500;
+const COUNTS_REPORT_INTERVAL_MS = 1_000;
 
-/** Idle beside a target that is in no group. */
+/** Starts once the target reports a rank group; otherwise does nothing. */
 export class RankRole {
   private readonly subscription = new Subscription();
   private controller: RankController | undefined;
@@ -31,15 +36,15 @@
   constructor(
     private readonly core: AgentCore,
     private readonly instances: readonly PeerClient[],
-    private readonly look: () => Promise<TargetObservation>
+    private readonly probe: () => Promise<TargetObservation>
   ) {}
 
-  /** Called with every look at the target. */
-  observed(seen: TargetObservation): void {
-    const {group} = seen;
+  /** Called with the result of every periodic probe. */
+  onProbe(observation: TargetObservation): void {
+    const {group} = observation;
     if (group === undefined) return;
-    this.controller ??= this.begin(group.id, group.rank);
-    this.addCounts(seen.expertCounts ?? []);
+    this.controller ??= this.startController(group.id, group.rank);
+    this.addCounts(observation.expertCounts ?? []);
     this.reportCounts(group.id, group.rank, group.step);
   }
 
@@ -51,7 +56,7 @@
     this.subscription.unsubscribe();
   }
 
-  private begin(group: string, rank: number): RankController {
+  private startController(group: string, rank: number): RankController {
     const {core} = this;
     const controller = new RankController(
       {
@@ -59,11 +64,11 @@
         rank,
         agentBootId: core.agentBootId,
         bootAtMs: performance.now(),
-        quietMs: QUIET_MS,
-        retryMs: RETRY_MS,
-        observeMs: OBSERVE_MS,
+        quietMs: MAX_ORDER_DELAY_MS,
+        retryMs: RETRY_INTERVAL_MS,
+        observeMs: OBSERVE_INTERVAL_MS,
       },
-      new TargetRankEngine(core.adapter, () => this.lookAndCount()),
+      new TargetRankEngine(core.adapter, () => this.probeAndCount()),
       {send: message => this.send(message)},
       core.metrics,
       core.logger
@@ -72,14 +77,19 @@
     return controller;
   }
 
-  /** Each look takes the counts since the last one, so none may be dropped. */
-  private async lookAndCount(): Promise<TargetObservation> {
-    const seen = await this.look();
-    this.addCounts(seen.expertCounts ?? []);
-    return seen;
+  /**
+   * Each observation has the counts since the previous one, so all must be
+   * added.
+   */
+  private async probeAndCount(): Promise<TargetObservation> {
+    const observation = await this.probe();
+    this.addCounts(observation.expertCounts ?? []);
+    return observation;
   }
 
-  /** To every instance: whichever leads acts on it, and loss is expected. */
+  /**
+   * Sends to every instance; the leader handles it, and messages may be lost.
+   */
   private send(message: FromRankMessage): void {
     for (const instance of this.instances) {
       instance
@@ -87,7 +97,7 @@
         .catch((err: unknown) => {
           this.core.logger.debug(
             {err: String(err)},
-            'map message not delivered'
+            `could not deliver a map message (${message.kind}) to control instance ${instance.address.id}`
           );
         });
     }
@@ -102,7 +112,7 @@
   private reportCounts(group: string, rank: number, step: number): void {
     const nowMs = performance.now();
     const spanMs = nowMs - this.countsSinceMs;
-    if (spanMs < COUNTS_PERIOD_MS || this.counts.length === 0) return;
+    if (spanMs < COUNTS_REPORT_INTERVAL_MS || this.counts.length === 0) return;
     const report: ExpertCountsReport = {
       kind: 'expertCounts',
       group,
--- a/src/agent/maps/rankSwitch.ts
+++ b/src/agent/maps/rankSwitch.ts
@@ -1,7 +1,7 @@
 /**
- * The rank's side of a switch of expert maps: pure, driven by events. The
- * promise itself is kept by the engine, which holds before the switch step;
- * this decides which orders reach the engine, and never decides a switch.
+ * The rank's state machine for switches of expert maps. The engine keeps the
+ * promise by holding before the switch step; this decides which orders reach
+ * the engine, while control alone decides a switch. Pure, driven by events.
  */
 
 import {unreachable} from '../../core/errors';
@@ -29,19 +29,22 @@
   readonly decision?: 'commit' | 'abort';
 }
 
-/** `learning` until control has told fence and map, then `starting`, `ready`. */
-type Stage = 'learning' | 'starting' | 'ready';
+/**
+ * `joining` until control has sent the current fence and map, `starting` until
+ * the engine runs with that map, then `ready`.
+ */
+type Stage = 'joining' | 'starting' | 'ready';
 
-/** Decides for one rank; the caller carries out the actions in order. */
+/** State machine of one rank; the caller executes the actions in order. */
 export class RankSwitch {
-  private stage: Stage = 'learning';
+  private stage: Stage = 'joining';
   private view?: EngineView;
   private attempt = 0;
   private answer?: JoinAnswer;
   private knownFence = 0;
   private decidedVersion = 0;
   private pending?: PendingSwitch;
-  private askedAtMs = -Infinity;
+  private lastRequestAtMs = -Infinity;
 
   constructor(private readonly cfg: RankSwitchConfig) {}
 
@@ -87,59 +90,59 @@
   }
 
   private onView(view: EngineView): readonly RankAction[] {
-    const before = this.view;
+    const previous = this.view;
     this.view = view;
-    const restarted = before !== undefined && before.bootId !== view.bootId;
+    const restarted = previous !== undefined && previous.bootId !== view.bootId;
     const lostMap = this.stage === 'ready' && !view.running;
-    // A restarted engine has forgotten its promise. The rank must learn anew,
-    // which also makes sure that what it had promised is decided by then.
-    if (restarted || lostMap) return this.learnAgain();
+    // A restarted engine has lost its promise, so the rank joins again. The
+    // reply also proves that the promised switch has been decided.
+    if (restarted || lostMap) return this.restartJoin();
     if (this.stage !== 'ready') return [];
     return this.reconcile(view);
   }
 
-  private learnAgain(): readonly RankAction[] {
-    this.stage = 'learning';
+  private restartJoin(): readonly RankAction[] {
+    this.stage = 'joining';
     this.attempt++;
-    this.askedAtMs = -Infinity;
+    this.lastRequestAtMs = -Infinity;
     this.pending = undefined;
     return [];
   }
 
-  /** Brings what is known here in line with what the engine holds. */
+  /** Reconciles the pending switch with the prepared version of the engine. */
   private reconcile(view: EngineView): readonly RankAction[] {
     const {pending} = this;
-    const held = view.preparedVersion;
+    const preparedVersion = view.preparedVersion;
     if (pending?.state === 'loading') return [];
     if (pending === undefined) {
-      if (held !== undefined) this.adopt(held);
+      if (preparedVersion !== undefined) this.adoptPromise(preparedVersion);
       return [];
     }
     const {id, decision} = pending;
     if (decision === undefined) return [];
-    if (held === id.version) return [this.decide(id, decision)];
-    // A restarted rank is told two maps only. With one more switch before the
-    // engine runs with this one there would be a third that it could need.
+    if (preparedVersion === id.version) return [this.decide(id, decision)];
+    // A join reply has only two maps. If the next switch were prepared before
+    // the engine runs with this one, a restarted rank could need a third.
     if (decision === 'commit' && view.mapVersion < id.version) return [];
     this.decidedVersion = Math.max(this.decidedVersion, id.version);
     this.pending = undefined;
     return [];
   }
 
-  /** Takes over a promise that an earlier boot of the agent has had given. */
-  private adopt(version: number): void {
+  /** Takes over a promise that the engine gave to an earlier agent boot. */
+  private adoptPromise(version: number): void {
     const fence = fenceOfVersion(version);
     const id = {group: this.cfg.group, fence, version};
     this.pending = {id, state: 'promised'};
   }
 
   private onJoinAnswer(answer: JoinAnswer): readonly RankAction[] {
-    // The answer to an earlier attempt may be from before a switch.
-    const asked = answer.attempt === this.attemptId();
-    if (!asked || this.stage !== 'learning' || !this.view) return [];
+    // The reply to an earlier attempt may predate a switch.
+    const isCurrentAttempt = answer.attempt === this.attemptId();
+    if (!isCurrentAttempt || this.stage !== 'joining' || !this.view) return [];
     this.knownFence = Math.max(this.knownFence, answer.fence);
     this.decidedVersion = Math.max(this.decidedVersion, answer.current.version);
-    this.pending = this.switchAhead(answer.current, this.view);
+    this.pending = this.incompleteSwitch(answer.current, this.view);
     if (this.view.running) {
       this.stage = 'ready';
       return this.reconcile(this.view);
@@ -149,8 +152,10 @@
     return [this.startAction(answer)];
   }
 
-  /** The newest switch, if the engine has yet to run with it. */
-  private switchAhead(
+  /**
+   * The newest committed switch, if the engine does not run with its map yet.
+   */
+  private incompleteSwitch(
     current: CommittedMap,
     view: EngineView
   ): PendingSwitch | undefined {
@@ -174,16 +179,18 @@
   }
 
   private onPrepare(order: PrepareMessage): readonly RankAction[] {
-    // An agent that has just started knows neither the newest fence nor what
-    // its engine has promised: an old order could undo that promise.
+    // An agent that has just started does not know the newest fence or the
+    // promise of its engine, which a late order could undo.
     if (this.stage !== 'ready') return [this.refusal(order, 'unready')];
-    // Not all engines check fences; this is the check for those.
+    // Some engines do not check fences, so the agent does.
     if (order.fence < this.knownFence) return [this.refusal(order, 'fenced')];
     this.knownFence = order.fence;
     const {pending} = this;
-    if (pending?.id.version === order.version) return this.again(pending);
-    // The earlier switch may have been committed: its promise stands until
-    // control has said what became of it, whoever asks for another.
+    if (pending?.id.version === order.version)
+      return this.repeatPromise(pending);
+    // The earlier switch may have been committed, so its promise stands until
+    // control sends the decision, even if a newer leader prepares another
+    // switch.
     if (pending) return [this.refusal(order, 'busy'), this.query(pending.id)];
     if (order.version <= this.decidedVersion)
       return [this.refusal(order, 'fenced')];
@@ -192,7 +199,7 @@
     return [{kind: 'prepareEngine', order}];
   }
 
-  private again(pending: PendingSwitch): readonly RankAction[] {
+  private repeatPromise(pending: PendingSwitch): readonly RankAction[] {
     return pending.state === 'promised' ? [this.promise(pending.id)] : [];
   }
 
@@ -210,8 +217,8 @@
       return [this.refusal(id, passed ? 'passed' : 'load-failed')];
     }
     this.pending = {...pending, state: 'promised'};
-    this.askedAtMs = nowMs;
-    // Only now, with the engine holding, is the promise true.
+    this.lastRequestAtMs = nowMs;
+    // The rank may promise only now that the engine holds.
     if (decision === undefined) return [this.promise(id)];
     return [this.decide(id, decision)];
   }
@@ -248,35 +255,36 @@
   }
 
   /**
-   * A decision is durable, whoever led when its switch was prepared. Under that
-   * older fence an engine that has since obeyed a new leader would refuse it,
-   * and its rank would stand at the barrier, with the whole group, for good.
+   * Sends the decision with the newest known fence, since a decision stays
+   * valid across leaders. An engine that has accepted orders of a newer leader
+   * would reject the fence of the switch, and the whole group would hold
+   * forever.
    */
   private decide(id: SwitchId, decision: 'commit' | 'abort'): RankAction {
     return {kind: 'decideEngine', id, fence: this.knownFence, decision};
   }
 
   private onTick(nowMs: number): readonly RankAction[] {
-    if (nowMs - this.askedAtMs < this.cfg.retryMs) return [];
-    const asked = this.ask(nowMs);
-    if (asked.length > 0) this.askedAtMs = nowMs;
-    return asked;
+    if (nowMs - this.lastRequestAtMs < this.cfg.retryMs) return [];
+    const requests = this.dueRequests(nowMs);
+    if (requests.length > 0) this.lastRequestAtMs = nowMs;
+    return requests;
   }
 
-  private ask(nowMs: number): readonly RankAction[] {
+  private dueRequests(nowMs: number): readonly RankAction[] {
     const {pending, stage} = this;
     if (stage === 'starting' && this.answer)
       return [this.startAction(this.answer)];
-    if (stage === 'learning') return this.join(nowMs);
-    const waits = pending?.state === 'promised' && !pending.decision;
-    return pending && waits ? [this.query(pending.id)] : [];
+    if (stage === 'joining') return this.join(nowMs);
+    const isUndecided = pending?.state === 'promised' && !pending.decision;
+    return pending && isUndecided ? [this.query(pending.id)] : [];
   }
 
   private join(nowMs: number): readonly RankAction[] {
-    // Orders of the agent's last boot may still reach the engine; a promise
-    // given before they are over could be undone by one of them.
-    const quiet = nowMs - this.cfg.bootAtMs >= this.cfg.quietMs;
-    if (!quiet || !this.view) return [];
+    // Orders of the previous agent boot may still reach the engine, and could
+    // undo a promise that is given before they expire.
+    const earlierOrdersExpired = nowMs - this.cfg.bootAtMs >= this.cfg.quietMs;
+    if (!earlierOrdersExpired || !this.view) return [];
     const {group, rank} = this.cfg;
     const attempt = this.attemptId();
     return [{kind: 'send', message: {kind: 'join', group, rank, attempt}}];
--- a/src/agent/maps/rankSwitchEvents.ts
+++ b/src/agent/maps/rankSwitchEvents.ts
@@ -1,4 +1,4 @@
-/** What the rank's side of a switch reacts to, and what it asks for. */
+/** Events and actions of the rank's state machine for map switches. */
 
 import type {
   CommittedMap,
@@ -9,24 +9,24 @@
   ToRankMessage,
 } from '../../core/mapMessages';
 
-/** What the engine shows of itself. */
+/** Observed state of the engine. */
 export interface EngineView {
   /** Random at each start of the engine. */
   readonly bootId: string;
-  /** Whether it has a map and takes part in steps. */
+  /** Whether it has a map and takes part in passes. */
   readonly running: boolean;
-  /** Next step to run. */
+  /** The next pass to run. */
   readonly step: number;
-  /** Map of the last step that was run; 0 for none. */
+  /** Version of the map in use in the last pass; 0 for none. */
   readonly mapVersion: number;
-  /** Version before whose step it holds until it is told. */
+  /** Prepared version, before whose switch step it holds until the decision. */
   readonly preparedVersion?: number;
 }
 
-/** What became of an order to hold before a step. */
+/** Result of an order to prepare a map and hold before its switch step. */
 export type PrepareResult = 'held' | 'passed' | 'failed';
 
-/** What the rank's side reacts to. */
+/** Input of the state machine. */
 export type RankEvent =
   | {readonly kind: 'engine'; readonly view: EngineView}
   | {readonly kind: 'message'; readonly message: ToRankMessage}
@@ -36,7 +36,7 @@
       readonly version: number;
       readonly result: PrepareResult;
     }
-  /** The outcome of the order to prepare is not known. */
+  /** The outcome of the order to prepare is unknown. */
   | {readonly kind: 'prepareLost'; readonly version: number}
   | {readonly kind: 'started'; readonly bootId: string}
   | {
@@ -46,10 +46,12 @@
     }
   | {readonly kind: 'tick'};
 
-/** What is to be done. */
+/** Output of the state machine, to be executed in order. */
 export type RankAction =
   | {readonly kind: 'send'; readonly message: FromRankMessage}
-  /** Run with `previous` below `current.switchStep`, else with `current`. */
+  /**
+   * Run with `previous` before `current.switchStep`, otherwise with `current`.
+   */
   | {
       readonly kind: 'startEngine';
       readonly fence: number;
@@ -61,19 +63,19 @@
   | {
       readonly kind: 'decideEngine';
       readonly id: SwitchId;
-      /** Newest fence known; that of the switch may be older. */
+      /** Newest known fence; that of the switch may be older. */
       readonly fence: number;
       readonly decision: 'commit' | 'abort';
     };
 
-/** Who this is, and its times in milliseconds. */
+/** Identity of the rank, and times in milliseconds. */
 export interface RankSwitchConfig {
   readonly group: string;
   readonly rank: number;
   readonly agentBootId: string;
   readonly bootAtMs: number;
-  /** Longest that an order to the engine can still take effect. */
+  /** Longest time after which an order to the engine can still take effect. */
   readonly quietMs: number;
-  /** Time between two requests of the same kind. */
+  /** Interval at which an unanswered request is repeated. */
   readonly retryMs: number;
 }
--- a/src/agent/maps/targetRankEngine.ts
+++ b/src/agent/maps/targetRankEngine.ts
@@ -1,4 +1,4 @@
-/** The engine beside this agent, as the rank's controller needs it. */
+/** Implements the rank engine on the adapter of the agent's target. */
 
 import {PeerError} from '../../core/errors';
 import type {PrepareMessage, StageMessage} from '../../core/mapMessages';
@@ -11,22 +11,22 @@
 import type {EngineView, PrepareResult} from './rankSwitchEvents';
 
 const ORDER_TIMEOUT_MS = 2_000;
-/** Weights come from a store that grants them slowly. */
-const STAGE_TIMEOUT_MS = 60_000;
+/** The weight store limits the rate of loads, so one may take long. */
+const WEIGHT_LOAD_TIMEOUT_MS = 60_000;
 
-/** One engine through its adapter. */
+/** The agent's target as the engine of a rank. */
 export class TargetRankEngine implements RankEngine {
   constructor(
     private readonly adapter: TargetAdapter,
-    /** A fresh look; rejects when the engine does not answer. */
-    private readonly look: () => Promise<TargetObservation>
+    /** Observes the engine now; rejects when it does not respond. */
+    private readonly probe: () => Promise<TargetObservation>
   ) {}
 
   async observe(): Promise<EngineView> {
-    const {bootId, group} = await this.look();
+    const {bootId, group} = await this.probe();
     if (group === undefined || bootId === undefined)
-      throw this.failure('the engine is in no group');
-    // A rank that holds without a prepared map has none at all yet.
+      throw this.rejection('the engine reports no rank group or no boot id');
+    // A rank that holds without a prepared map has not received a map yet.
     const running = !group.holding || group.preparedVersion !== undefined;
     return {
       bootId,
@@ -39,18 +39,32 @@
 
   async startMap({fence, current, previous}: StartOrder): Promise<void> {
     const {step} = await this.observe();
-    const isAhead = previous !== undefined && step < current.switchStep;
-    for (const committed of isAhead ? [previous, current] : [current]) {
+    const needsPreviousMap =
+      previous !== undefined && step < current.switchStep;
+    for (const committed of needsPreviousMap
+      ? [previous, current]
+      : [current]) {
       const {version, switchStep, map} = committed;
-      await this.obey({kind: 'prepareMap', fence, version, switchStep, ...map});
-      await this.obey({kind: 'decideMap', fence, version, decision: 'commit'});
+      await this.sendOrThrow({
+        kind: 'prepareMap',
+        fence,
+        version,
+        switchStep,
+        ...map,
+      });
+      await this.sendOrThrow({
+        kind: 'decideMap',
+        fence,
+        version,
+        decision: 'commit',
+      });
     }
   }
 
   async stageExpert({fence, expert, slot}: StageMessage): Promise<void> {
-    await this.obey(
+    await this.sendOrThrow(
       {kind: 'loadExpert', fence, expert, slot},
-      STAGE_TIMEOUT_MS
+      WEIGHT_LOAD_TIMEOUT_MS
     );
   }
 
@@ -74,20 +88,23 @@
 
   async decideMap({id, fence, decision}: DecideOrder): Promise<void> {
     const {version} = id;
-    await this.obey({kind: 'decideMap', fence, version, decision});
+    await this.sendOrThrow({kind: 'decideMap', fence, version, decision});
   }
 
   private send(order: TargetOrder, timeoutMs = ORDER_TIMEOUT_MS) {
     return this.adapter.order(order, AbortSignal.timeout(timeoutMs));
   }
 
-  private async obey(order: TargetOrder, timeoutMs?: number): Promise<void> {
+  private async sendOrThrow(
+    order: TargetOrder,
+    timeoutMs?: number
+  ): Promise<void> {
     const answer = await this.send(order, timeoutMs);
     if (answer.kind !== 'done')
-      throw this.failure(`${order.kind}: ${answer.kind}`);
+      throw this.rejection(`${order.kind}: ${answer.kind}`);
   }
 
-  private failure(detail: string): PeerError {
+  private rejection(detail: string): PeerError {
     return new PeerError(
       {kind: 'rejected', code: 0},
       'target',
--- a/src/agent/maps/toRankSchema.ts
+++ b/src/agent/maps/toRankSchema.ts
@@ -1,4 +1,4 @@
-/** Validates what control sends to a rank, once, where it arrives. */
+/** Validates messages from control to a rank on arrival. */
 
 import * as z from 'zod';
 import type {ToRankMessage} from '../../core/mapMessages';
@@ -11,7 +11,7 @@
 const COMMITTED = z.object({version: COUNT, switchStep: COUNT, map: MAP});
 const SWITCH_ID = {group: z.string(), fence: COUNT, version: COUNT};
 
-/** Any message of control to a rank. */
+/** Schema of all messages from control to a rank. */
 export const TO_RANK: z.ZodType<ToRankMessage> = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('prepare'),
--- a/src/agent/onceGuard.ts
+++ b/src/agent/onceGuard.ts
@@ -1,31 +1,34 @@
 /**
- * What this boot of the agent knows of claimed calls. A claim names one boot
- * of one agent, so only that boot can let the call run, and it can say for
- * sure that a call has not run and never will.
+ * Records the claimed (non-idempotent) calls of one agent boot. A claim names
+ * one boot of one agent, so only that boot can run the call, and it can state
+ * with certainty that a call has not run and never will.
  */
 
 import type {RecordedAnswer} from '../core/claims';
 import type {FenceClaimAnswer} from '../rpc/messages';
 
-/** Claims remembered by one boot before it must become a new boot. */
+/** Claims that one boot records before the agent must renew its boot id. */
 const MAX_CLAIMS = 20_000;
-/** Answers kept for entries that died before they could record them. */
-const MAX_ANSWERS = 500;
+/** Responses kept for entries that crashed before they recorded them. */
+const MAX_RECORDED_ANSWERS = 500;
 
 type ClaimState =
   | {readonly kind: 'running'}
   | {readonly kind: 'ran'; readonly answer?: RecordedAnswer}
   | {readonly kind: 'fenced'};
 
-/** Whether a dispatch under a claim may run. */
+/** `run`: the dispatch may run; otherwise the state of its claim. */
 export type ClaimVerdict = 'run' | 'fenced' | 'running' | 'ran';
 
-/** Claims by customer, key and attempt. */
+/** The claims of one boot, by customer, key and attempt. */
 export class OnceGuard {
   private readonly claims = new Map<string, ClaimState>();
   private readonly answered: string[] = [];
 
-  /** Called before the request goes to the target; at most one gets `run`. */
+  /**
+   * Called before the request is sent; only the first call for a claim returns
+   * `run`.
+   */
   begin(claimId: string): ClaimVerdict {
     const known = this.claims.get(claimId);
     if (known !== undefined) return known.kind;
@@ -33,23 +36,26 @@
     return 'run';
   }
 
-  /** The target was never sent the request. */
+  /** Fences a claim whose request was never sent to the target. */
   release(claimId: string): void {
-    // Stays barred: the entry is told "not run" and must claim again.
+    // The entry is told "not run" and needs a new claim for another attempt.
     this.claims.set(claimId, {kind: 'fenced'});
   }
 
-  /** The target was sent the request; its answer, where whole and small. */
+  /**
+   * Records that the request was sent, with its response if complete and small
+   * enough.
+   */
   finish(claimId: string, answer?: RecordedAnswer): void {
     this.claims.set(claimId, {kind: 'ran', answer});
     if (answer === undefined) return;
     this.answered.push(claimId);
-    if (this.answered.length <= MAX_ANSWERS) return;
+    if (this.answered.length <= MAX_RECORDED_ANSWERS) return;
     const oldest = this.answered.shift();
     if (oldest !== undefined) this.claims.set(oldest, {kind: 'ran'});
   }
 
-  /** Bars a claim that has not run; tells what became of one that has. */
+  /** Fences a claim that has not started; otherwise returns its state. */
   fence(claimId: string): FenceClaimAnswer {
     const known = this.claims.get(claimId);
     if (known !== undefined) return known;
@@ -58,16 +64,16 @@
   }
 
   /**
-   * Whether the record is full. Forgetting a barred claim would let a late
-   * dispatch of it run; the agent takes a new boot id instead, by which every
-   * dispatch to the old one is refused.
+   * Whether the agent must renew its boot id. Evicting a fenced claim would let
+   * a late dispatch of it run; with a new boot id, every dispatch to the old
+   * one is refused, so the record can be discarded.
    */
   get full(): boolean {
     return this.claims.size >= MAX_CLAIMS;
   }
 }
 
-/** One string for a claim. */
+/** Key of a claim in the record. */
 export function claimIdOf(
   customer: string,
   key: string,
--- a/src/agent/prefixMemory.ts
+++ b/src/agent/prefixMemory.ts
@@ -1,18 +1,20 @@
-/** Which prompt prefixes the target is believed to hold in its cache. */
+/** Estimates which prompt prefixes are in the target's cache. */
 
 import type {CacheEvents} from '../target/targetAdapter';
 
 const MAX_PREFIXES = 512;
-/** Prefixes told with each announcement. */
-const ANNOUNCED = 32;
+const MAX_ANNOUNCED_PREFIXES = 32;
 
-/** Follows late and gapped cache events; oldest prefixes are forgotten first. */
+/**
+ * Follows cache events, which can be late or lost; evicts the oldest prefixes
+ * first.
+ */
 export class PrefixMemory {
   private readonly prefixes = new Set<string>();
 
   apply({events, missed}: CacheEvents): void {
-    // Removals may be among what was missed: a wrong "cached" sends work to a
-    // target that gains nothing from it, so the memory starts anew.
+    // Lost events may include removals. A prefix wrongly believed to be cached
+    // attracts requests without any gain, so the estimate starts from empty.
     if (missed > 0) this.prefixes.clear();
     for (const {kind, prefix} of events) {
       this.prefixes.delete(prefix);
@@ -25,6 +27,6 @@
   }
 
   newest(): readonly string[] {
-    return [...this.prefixes].slice(-ANNOUNCED);
+    return [...this.prefixes].slice(-MAX_ANNOUNCED_PREFIXES);
   }
 }
--- a/src/agent/serveDispatch.ts
+++ b/src/agent/serveDispatch.ts
@@ -1,4 +1,4 @@
-/** One dispatch from the gate to the end of its answer. */
+/** Serves one dispatch, from its admission to the end of its response. */
 
 import http, {IncomingMessage, ServerResponse} from 'node:http';
 import {CancelSignal, Cancellation} from '../core/cancellation';
@@ -23,17 +23,19 @@
 import type {Slot} from './gate';
 import {claimIdOf} from './onceGuard';
 
-/** Answers of non-idempotent calls up to this size are kept for resends. */
-const MAX_RECORDED_BYTES = 64 * 1024;
+/** Largest response of a non-idempotent call that is kept for resends. */
+const MAX_RECORDED_BODY_BYTES = 64 * 1024;
 const EVENT_STREAM = 'text/event-stream';
 const CANCEL_TIMEOUT_MS = 2_000;
 
-/** Connections to the target are kept; calls that may not repeat use their own. */
+/** For idempotent calls; the others use a fresh connection each. */
 const keepAlive = new http.Agent({keepAlive: true});
-/** Nobody cancels it. */
-const NEVER: CancelSignal = new Cancellation();
+const NEVER_CANCELLED: CancelSignal = new Cancellation();
 
-/** Resolves once the answer has ended; rejects with RefusalError before it. */
+/**
+ * Resolves when the response has ended; rejects with RefusalError if there is
+ * no response.
+ */
 export async function serveDispatch(
   core: AgentCore,
   dispatch: Dispatch,
@@ -41,12 +43,12 @@
   res: ServerResponse
 ): Promise<void> {
   core.sawRevision(dispatch.revision);
-  const gone = new Cancellation();
-  // After a whole answer there is nothing to end.
+  const callerGone = new Cancellation();
+  // The close after a complete response cancels nothing.
   res.on('close', () => {
-    if (!res.writableFinished) gone.cancel();
+    if (!res.writableFinished) callerGone.cancel();
   });
-  const slot = await core.gate.enter(dispatch, gone);
+  const slot = await core.gate.acquire(dispatch, callerGone);
   const claimId =
     dispatch.claim &&
     claimIdOf(dispatch.customer, dispatch.claim.key, dispatch.claim.attempt);
@@ -56,25 +58,25 @@
     slot.release();
     throw err;
   }
-  await new Exchange(core, dispatch, slot, claimId, gone).run(req, res);
+  await new Exchange(core, dispatch, slot, claimId, callerGone).run(req, res);
 }
 
 /**
- * Whether something of the body came along with the head. The head then goes
- * out with it: alone it costs a write, a TLS record and a wake-up of the entry.
+ * Whether body data arrived together with the head. The head is then sent with
+ * it: sent alone, it costs a write, a TLS record and a wake-up of the entry.
  */
-function hasBegun(answer: IncomingMessage): boolean {
-  return answer.readableLength > 0 || answer.complete;
+function hasBodyData(response: IncomingMessage): boolean {
+  return response.readableLength > 0 || response.complete;
 }
 
-/** At most one dispatch of a claim passes, however many arrive. */
+/** Lets only the first dispatch of a claim pass; refuses the others. */
 function beginClaim(
   core: AgentCore,
   dispatch: Dispatch,
   claimId: string
 ): void {
-  // The boot id may have been renewed since the gate let the request in, and
-  // with it the record of barred claims.
+  // Since the admission, the boot id may have been renewed and the record of
+  // fenced claims discarded.
   if (dispatch.agentBootId !== core.agentBootId)
     throw refuse('target-changed', 'gate', core.targetId, 'a new boot id');
   const verdict = core.once.begin(claimId);
@@ -100,13 +102,13 @@
   }
 }
 
-/** One request to the target. */
+/** One request at the target, up to the release of its slot. */
 class Exchange {
   private readonly startedAtMs = performance.now();
   private readonly recorded: Buffer[] = [];
   private recordedBytes = 0;
   private isStream = false;
-  private prefilling = false;
+  private isPrefilling = false;
   private lastTokenAtMs: number | undefined;
 
   constructor(
@@ -114,15 +116,16 @@
     private readonly dispatch: Dispatch,
     private readonly slot: Slot,
     private readonly claimId: string | undefined,
-    private readonly gone: CancelSignal
+    private readonly callerGone: CancelSignal
   ) {}
 
   async run(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    // A whole answer does not show where its prompt ends; taken for one long
-    // prompt it would hide the pace of all streams beside it.
+    // A response that is not streamed does not show when its prefill ends.
+    // Counted as one long prefill, it would exclude the token gaps of all other
+    // streams.
     if (this.dispatch.stream === true) {
-      this.prefilling = true;
-      this.core.state.prefillBegan();
+      this.isPrefilling = true;
+      this.core.state.prefillStarted();
     }
     try {
       await this.exchange(req, res);
@@ -135,51 +138,55 @@
     req: IncomingMessage,
     res: ServerResponse
   ): Promise<void> {
-    const answer = await this.send(req);
-    if (this.gone.aborted) return this.answeredNobody(answer);
+    const response = await this.send(req);
+    if (this.callerGone.aborted)
+      return this.onResponseAfterCallerGone(response);
     res.writeHead(
-      answer.statusCode ?? 502,
-      answer.statusMessage,
-      this.answerHeaders(answer)
+      response.statusCode ?? 502,
+      response.statusMessage,
+      this.responseHeaders(response)
     );
-    const relayed = this.relay(answer, res);
-    if (!hasBegun(answer)) res.flushHeaders();
+    const relayed = this.relay(response, res);
+    if (!hasBodyData(response)) res.flushHeaders();
     switch (await relayed) {
       case 'complete':
-        return this.completed(answer);
+        return this.onResponseComplete(response);
       case 'source cut':
         this.failed();
         return cutOff(res);
       case 'sink closed':
-        return this.abandoned(answer);
+        return this.onCallerGone(response);
     }
   }
 
-  private relay(answer: IncomingMessage, res: ServerResponse) {
-    const type = answer.headers['content-type'] ?? '';
+  private relay(response: IncomingMessage, res: ServerResponse) {
+    const type = response.headers['content-type'] ?? '';
     this.isStream = type.startsWith(EVENT_STREAM);
-    return relayAnswer(answer, res, chunk => {
+    return relayAnswer(response, res, chunk => {
       this.record(chunk);
-      if (this.isStream) this.timeToken(res);
+      if (this.isStream) this.recordTokenGap(res);
     });
   }
 
-  /** A slow caller delays tokens as well; its gaps say nothing of the target. */
-  private timeToken(res: ServerResponse): void {
+  /**
+   * Ignores gaps while the caller reads slowly: they do not show the target's
+   * latency.
+   */
+  private recordTokenGap(res: ServerResponse): void {
     const nowMs = performance.now();
     this.endPrefill(nowMs);
     const {core, lastTokenAtMs} = this;
-    const held = res.writableNeedDrain;
-    this.lastTokenAtMs = held ? undefined : nowMs;
-    if (lastTokenAtMs === undefined || held) return;
+    const isCallerSlow = res.writableNeedDrain;
+    this.lastTokenAtMs = isCallerSlow ? undefined : nowMs;
+    if (lastTokenAtMs === undefined || isCallerSlow) return;
     const {outstanding} = core.gate;
     const gap = {nowMs, startedAtMs: lastTokenAtMs, outstanding};
-    core.state.token(gap, core.warmup());
+    core.state.recordTokenGap(gap, core.warmup());
   }
 
   private endPrefill(nowMs: number): void {
-    if (!this.prefilling) return;
-    this.prefilling = false;
+    if (!this.isPrefilling) return;
+    this.isPrefilling = false;
     this.core.state.prefillEnded(nowMs);
   }
 
@@ -196,8 +203,8 @@
         secure: false,
         host: target.host,
         port: target.port,
-        // A kept connection can close just as the request is written, and then
-        // nobody knows whether it ran; a fresh one makes that rare.
+        // A reused connection may close while the request is written, which
+        // leaves the outcome unknown; on a fresh connection that is rare.
         agent: this.dispatch.idempotent ? keepAlive : false,
         method: req.method ?? 'GET',
         path: req.url ?? '/',
@@ -210,9 +217,12 @@
     }
   }
 
-  /** A call that may have run is never broken off: its answer is wanted. */
+  /**
+   * A non-idempotent call is never cancelled: its response is recorded for
+   * resends.
+   */
   private sendSignal(): CancelSignal {
-    return this.dispatch.idempotent ? this.gone : NEVER;
+    return this.dispatch.idempotent ? this.callerGone : NEVER_CANCELLED;
   }
 
   private sendFailed(err: unknown): Error {
@@ -220,7 +230,7 @@
     const notSent = err instanceof UpstreamError && !err.sent;
     if (notSent) {
       if (claimId !== undefined) core.once.release(claimId);
-      core.state.lost(performance.now());
+      core.state.markUnreachable(performance.now());
       this.slot.release();
       return refuse(
         'target-unreachable',
@@ -229,43 +239,48 @@
         String(err)
       );
     }
-    if (this.gone.aborted) void this.cancelThenRelease();
+    if (this.callerGone.aborted) void this.cancelThenRelease();
     else this.failed();
     if (claimId !== undefined) core.once.finish(claimId);
     return refuse('outcome-unknown', 'target', core.adapter.peer, String(err));
   }
 
-  private answerHeaders(answer: IncomingMessage): string[] {
+  private responseHeaders(response: IncomingMessage): string[] {
     const report = headerJson(this.core.report(this.slot.queuedMs));
-    return relayedHeaders(answer.rawHeaders, {
+    return relayedHeaders(response.rawHeaders, {
       [REPORT_HEADER]: report,
     });
   }
 
   private record(chunk: Buffer): void {
-    if (this.claimId === undefined || this.recordedBytes > MAX_RECORDED_BYTES)
+    if (
+      this.claimId === undefined ||
+      this.recordedBytes > MAX_RECORDED_BODY_BYTES
+    )
       return;
     this.recordedBytes += chunk.length;
     this.recorded.push(chunk);
   }
 
-  private completed(answer: IncomingMessage): void {
+  private onResponseComplete(response: IncomingMessage): void {
     const nowMs = performance.now();
     const {core, dispatch, startedAtMs} = this;
     if (this.claimId !== undefined)
-      core.once.finish(this.claimId, this.recordedAnswer(answer));
+      core.once.finish(this.claimId, this.answerForRecord(response));
     const outstanding = core.gate.outstanding;
     const sample = {nowMs, startedAtMs, outstanding, cost: dispatch.cost};
-    // The tokens of a stream have told more, and sooner.
-    if (!this.isStream) core.state.served(sample, core.warmup());
+    // For a stream, the gaps between its tokens are recorded instead.
+    if (!this.isStream) core.state.recordResponse(sample, core.warmup());
     this.slot.release(nowMs - startedAtMs);
   }
 
-  private recordedAnswer(answer: IncomingMessage): RecordedAnswer | undefined {
-    if (this.recordedBytes > MAX_RECORDED_BYTES) return undefined;
+  private answerForRecord(
+    response: IncomingMessage
+  ): RecordedAnswer | undefined {
+    if (this.recordedBytes > MAX_RECORDED_BODY_BYTES) return undefined;
     return {
-      status: answer.statusCode ?? 502,
-      headers: headerPairs(endToEndHeaders(answer.rawHeaders)),
+      status: response.statusCode ?? 502,
+      headers: headerPairs(endToEndHeaders(response.rawHeaders)),
       bodyBase64: Buffer.concat(this.recorded).toString('base64'),
     };
   }
@@ -273,56 +288,61 @@
   private failed(): void {
     const {core, claimId} = this;
     if (claimId !== undefined) core.once.finish(claimId);
-    core.state.strained(performance.now());
+    core.state.restartRamp(performance.now());
     core.metrics.count('gate.cold', {reason: 'connection lost'});
     this.slot.release();
   }
 
   /**
-   * The caller went away while the target worked. Its connection tells so only
-   * once, before this: relaying to it would wait for ever, keep the slot and
-   * leave the claim running, so that no resend could get the answer.
+   * The caller disconnected before the response. Its `close` event has already
+   * fired, so relaying to it would wait forever, keep the slot and leave the
+   * claim running, and no resend could get the response.
    */
-  private answeredNobody(answer: IncomingMessage): Promise<void> {
-    answer.on('data', (chunk: Buffer) => this.record(chunk));
-    return this.abandoned(answer);
+  private onResponseAfterCallerGone(response: IncomingMessage): Promise<void> {
+    response.on('data', (chunk: Buffer) => this.record(chunk));
+    return this.onCallerGone(response);
   }
 
-  /** The caller went away while the answer was coming. */
-  private async abandoned(answer: IncomingMessage): Promise<void> {
-    if (answer.complete && answer.readableEnded) return this.completed(answer);
+  /** The caller disconnected before the end of the response. */
+  private async onCallerGone(response: IncomingMessage): Promise<void> {
+    if (response.complete && response.readableEnded)
+      return this.onResponseComplete(response);
     this.core.metrics.count('request.cancelled');
-    if (!this.dispatch.idempotent) return this.drain(answer);
-    answer.destroy();
+    if (!this.dispatch.idempotent) return this.readToEnd(response);
+    response.destroy();
     await this.cancelThenRelease();
   }
 
-  /** Reads the rest, so that the record of the call is whole. */
-  private drain(answer: IncomingMessage): void {
-    answer.on('data', () => undefined);
-    answer.on('end', () => this.completed(answer));
-    answer.on('error', () => this.failed());
-    answer.resume();
+  /**
+   * Reads the rest of the response, so that the record of the call is complete.
+   */
+  private readToEnd(response: IncomingMessage): void {
+    response.on('data', () => undefined);
+    response.on('end', () => this.onResponseComplete(response));
+    response.on('error', () => this.failed());
+    response.resume();
   }
 
   /**
-   * Work that still runs at the target counts against its limit: the slot is
-   * free only once the target says that the request no longer runs.
+   * Releases the slot after the target has responded to the cancel, since a
+   * request that still runs counts against the limit. If the cancel fails or is
+   * not supported, the request may still run, so the ramp restarts.
    */
   private async cancelThenRelease(): Promise<void> {
     const {core, dispatch} = this;
     try {
-      const answer = await core.adapter.cancel(
+      const result = await core.adapter.cancel(
         dispatch,
         AbortSignal.timeout(CANCEL_TIMEOUT_MS)
       );
-      if (answer.kind === 'unsupported') core.state.strained(performance.now());
+      if (result.kind === 'unsupported')
+        core.state.restartRamp(performance.now());
     } catch (err) {
       core.logger.warn(
         {err: String(err), requestId: dispatch.requestId},
-        'cancel failed'
+        `could not cancel a request at target ${core.targetId}; its concurrency ramp restarts`
       );
-      core.state.strained(performance.now());
+      core.state.restartRamp(performance.now());
     }
     this.slot.release();
   }
--- a/src/agent/targetState.ts
+++ b/src/agent/targetState.ts
@@ -1,6 +1,6 @@
 /**
- * How much the target may run now: its ramp from cold, and the work that an
- * earlier boot of the agent may have left running there.
+ * Determines the target's concurrency limit: its ramp after a cold start, its
+ * latency, and requests that an earlier agent boot may have left running.
  */
 
 import type {Temperature} from '../core/wire';
@@ -23,14 +23,14 @@
   rampServed,
 } from '../policy/ramp';
 import type {TargetObservation} from '../target/targetAdapter';
-import {TokenGap, TokenPace} from './tokenPace';
+import {TokenGap, TokenLatencyMonitor} from './tokenPace';
 
-/** Why the target was taken for cold. */
+/** Why the target is considered cold. */
 export type ColdReason =
   'restarted' | 'unreachable' | 'loading' | 'claims cold' | 'connection lost';
 
-/** One answered request, for the ramp. */
-export interface ServedSample {
+/** One completed request. */
+export interface ResponseSample {
   readonly nowMs: number;
   readonly startedAtMs: number;
   readonly outstanding: number;
@@ -45,62 +45,68 @@
 /** Tracks one target; times are `performance.now()` milliseconds. */
 export class TargetState {
   private ramp: RampState;
-  private latency: ConcurrencyState | undefined;
-  private readonly pace = new TokenPace();
+  private concurrency: ConcurrencyState | undefined;
+  private readonly tokenLatency = new TokenLatencyMonitor();
   private rule: WarmupLimits | undefined;
   private targetBootId: string | undefined;
-  private answering = false;
-  private claimedCold = false;
-  /** Undefined until a report made after this boot's start has come. */
-  private leftover: number | undefined;
+  private isReady = false;
+  private reportedCold = false;
+  /** Undefined until a load report measured after this boot's start arrives. */
+  private leftoverRequests: number | undefined;
 
   constructor(private readonly startedAtMs: number) {
     this.ramp = freshRamp(startedAtMs);
   }
 
-  /** Whether the target answers and is ready. */
+  /** Whether the last probe succeeded and reported the target as ready. */
   get ready(): boolean {
-    return this.answering;
+    return this.isReady;
   }
 
-  /** Takes in one look at the target; returns why it now counts as cold. */
-  observed(
-    seen: TargetObservation,
+  /**
+   * Records a successful probe; returns the reason if it shows a cold target.
+   */
+  recordObservation(
+    observation: TargetObservation,
     ownOutstanding: number,
     nowMs: number
   ): ColdReason | undefined {
-    this.countLeftover(seen, ownOutstanding, nowMs);
-    const reason = this.coldReason(seen);
-    this.targetBootId = seen.bootId;
-    this.claimedCold = seen.cold === true;
-    this.answering = seen.state === 'ready';
+    this.updateLeftover(observation, ownOutstanding, nowMs);
+    const reason = this.coldReason(observation);
+    this.targetBootId = observation.bootId;
+    this.reportedCold = observation.cold === true;
+    this.isReady = observation.state === 'ready';
     if (reason !== undefined) this.ramp = rampCold(this.ramp, nowMs);
     return reason;
   }
 
   /**
-   * Any silence or lost connection is cold until proven otherwise: the target
-   * may have restarted without a word, and full load would topple it.
+   * Records that the target did not respond. It may have restarted unnoticed,
+   * so it counts as cold: full load would overload a target that has just
+   * started.
    */
-  lost(nowMs: number): void {
-    this.answering = false;
+  markUnreachable(nowMs: number): void {
+    this.isReady = false;
     this.ramp = rampCold(this.ramp, nowMs);
   }
 
-  /** A request failed on its connection while the target seemed well. */
-  strained(nowMs: number): void {
+  /**
+   * Restarts the ramp of a target that is ready but may be cold or overloaded,
+   * such as after a request that lost its connection.
+   */
+  restartRamp(nowMs: number): void {
     this.ramp = rampCold(this.ramp, nowMs);
   }
 
-  served(sample: ServedSample, rule: WarmupLimits): void {
+  recordResponse(sample: ResponseSample, rule: WarmupLimits): void {
     const {nowMs, startedAtMs, outstanding, cost} = sample;
-    const latency = this.adopt(rule, nowMs);
+    const concurrency = this.applyRule(rule, nowMs);
     const latencyMs = (nowMs - startedAtMs) / Math.max(1, cost);
-    // While it warms, the ramp alone answers to strain.
-    this.latency = rampComplete(this.ramp, rule)
-      ? observeLatency(latency, rule, {latencyMs, outstanding})
-      : learnLatency(latency, latencyMs);
-    const slowdown = latencyRise(this.latency);
+    // During the warmup, only the ramp reacts to high latency.
+    this.concurrency = rampComplete(this.ramp, rule)
+      ? observeLatency(concurrency, rule, {latencyMs, outstanding})
+      : learnLatency(concurrency, latencyMs);
+    const slowdown = latencyRise(this.concurrency);
     this.ramp = rampServed(this.ramp, rule, {
       nowMs,
       startedAtMs,
@@ -110,53 +116,56 @@
   }
 
   /**
-   * A token of a stream came. The time between tokens shows strain within a
-   * few steps; whole answers tell of it only when they end, long after a
-   * target that warms slower than its rule says was given too much.
+   * Records the time between two tokens of a stream. It shows an overload
+   * within a few passes. The latency of whole responses shows it only at their
+   * end, long after a target that warms up slower than its rule has received
+   * too much.
    */
-  token(gap: TokenGap, rule: WarmupLimits): void {
-    this.adopt(rule, gap.nowMs);
-    const warm = rampComplete(this.ramp, rule);
-    const sample = this.pace.take(gap, rule, warm);
+  recordTokenGap(gap: TokenGap, rule: WarmupLimits): void {
+    this.applyRule(rule, gap.nowMs);
+    const isWarm = rampComplete(this.ramp, rule);
+    const sample = this.tokenLatency.recordGap(gap, rule, isWarm);
     if (sample !== undefined) this.ramp = rampServed(this.ramp, rule, sample);
   }
 
-  /** A prompt is taken in: the tokens of others come slower meanwhile. */
-  prefillBegan(): void {
-    this.pace.prefillBegan();
+  /**
+   * The target starts to process a prompt, which slows the tokens of others.
+   */
+  prefillStarted(): void {
+    this.tokenLatency.prefillStarted();
   }
 
-  /** See `prefillBegan`; called once for each. */
+  /** See `prefillStarted`; called once for each. */
   prefillEnded(nowMs: number): void {
-    this.pace.prefillEnded(nowMs);
+    this.tokenLatency.prefillEnded(nowMs);
   }
 
-  /** Requests that this agent may have running at once. */
+  /** Concurrency limit of this agent. */
   limit(rule: WarmupLimits, nowMs: number): number {
-    if (!this.answering || this.leftover === undefined) return 0;
-    const latency = this.adopt(rule, nowMs);
-    const ramp = rampLimit(this.ramp, rule, nowMs);
-    const bearable = Math.min(
-      ramp,
-      concurrencyLimit(latency, rule),
-      this.pace.limit(rule)
+    if (!this.isReady || this.leftoverRequests === undefined) return 0;
+    const concurrency = this.applyRule(rule, nowMs);
+    const rampedLimit = rampLimit(this.ramp, rule, nowMs);
+    const targetLimit = Math.min(
+      rampedLimit,
+      concurrencyLimit(concurrency, rule),
+      this.tokenLatency.limit(rule)
     );
-    return Math.max(0, bearable - this.leftover);
+    return Math.max(0, targetLimit - this.leftoverRequests);
   }
 
-  /** A rule that changed mid-ramp must not lift the limit at once. */
-  private adopt(rule: WarmupLimits, nowMs: number): ConcurrencyState {
-    const {rule: before} = this;
+  /** A rule that changes during the ramp must not raise the limit at once. */
+  private applyRule(rule: WarmupLimits, nowMs: number): ConcurrencyState {
+    const {rule: previousRule} = this;
     this.rule = rule;
-    if (before !== undefined && !isSameRule(before, rule))
-      this.ramp = rampRuleChanged(this.ramp, before, nowMs);
-    this.latency ??= freshConcurrency(rule);
-    return this.latency;
+    if (previousRule !== undefined && !isSameRule(previousRule, rule))
+      this.ramp = rampRuleChanged(this.ramp, previousRule, nowMs);
+    this.concurrency ??= freshConcurrency(rule);
+    return this.concurrency;
   }
 
-  /** Step time now over the usual one, at least 1. */
+  /** Current over usual pass duration, at least 1. */
   slowdown(): number {
-    return this.pace.slowdown();
+    return this.tokenLatency.slowdown();
   }
 
   temperature(rule: WarmupLimits): Temperature {
@@ -164,34 +173,43 @@
     return this.ramp.level === undefined ? 'cold' : 'warming';
   }
 
-  private coldReason(seen: TargetObservation): ColdReason | undefined {
-    if (this.targetBootId !== undefined && seen.bootId !== this.targetBootId)
+  private coldReason(observation: TargetObservation): ColdReason | undefined {
+    if (
+      this.targetBootId !== undefined &&
+      observation.bootId !== this.targetBootId
+    )
       return 'restarted';
-    if (seen.state === 'loading') return 'loading';
-    // Only the turn counts: a target that says so until it is warm would
-    // otherwise be held at the start for good.
-    if (seen.cold === true && !this.claimedCold) return 'claims cold';
+    if (observation.state === 'loading') return 'loading';
+    // Only the change to cold counts: a target that reports cold until it is
+    // warm would otherwise restart its ramp at each probe and never get warm.
+    if (observation.cold === true && !this.reportedCold) return 'claims cold';
     return undefined;
   }
 
   /**
-   * An agent that restarted does not know what its earlier boot left running.
-   * A report made before the restart can miss some of it, so nothing starts
-   * until a later report has come; what that counts beyond our own work is
-   * left over, and it only shrinks.
+   * A restarted agent does not know which requests its earlier boot left
+   * running. A load measured before the restart may miss some of them, so
+   * nothing starts until a later measurement arrives. Requests in it that this
+   * boot did not send are leftovers; their number can only decrease.
    */
-  private countLeftover(
-    seen: TargetObservation,
+  private updateLeftover(
+    observation: TargetObservation,
     ownOutstanding: number,
     nowMs: number
   ): void {
-    const {load} = seen;
+    const {load} = observation;
     if (load === undefined) {
-      this.leftover = 0;
+      this.leftoverRequests = 0;
       return;
     }
     if (nowMs - load.loadAgeMs < this.startedAtMs) return;
-    const foreign = Math.max(0, load.running + load.waiting - ownOutstanding);
-    this.leftover = Math.min(this.leftover ?? foreign, foreign);
+    const unaccounted = Math.max(
+      0,
+      load.running + load.waiting - ownOutstanding
+    );
+    this.leftoverRequests = Math.min(
+      this.leftoverRequests ?? unaccounted,
+      unaccounted
+    );
   }
 }
--- a/src/agent/targetWatcher.ts
+++ b/src/agent/targetWatcher.ts
@@ -1,52 +1,63 @@
-/** Looks at the target again and again, and takes any silence for cold. */
+/** Probes the target periodically; a failed probe marks it as cold. */
 
 import {Subscription, defer, exhaustMap, timer} from 'rxjs';
 import type {TargetObservation} from '../target/targetAdapter';
 import type {AgentCore} from './agentCore';
 
-/** A target that answers no probe in this time counts as lost. */
+/** A target that does not respond within this time counts as unreachable. */
 const PROBE_TIMEOUT_MS = 1_000;
 
-/** Watches until the subscription is ended. */
+/** Probes until unsubscribed. */
 export function watchTarget(
   core: AgentCore,
-  onSeen: (seen: TargetObservation) => void
+  onObservation: (observation: TargetObservation) => void
 ): Subscription {
   return timer(0, core.target.probeIntervalMs)
-    .pipe(exhaustMap(() => defer(() => observeOnce(core, onSeen))))
+    .pipe(exhaustMap(() => defer(() => probeOnce(core, onObservation))))
     .subscribe();
 }
 
-/** One look that the agent's state takes in; rejects when it is not answered. */
-export async function lookAtTarget(
-  core: AgentCore
-): Promise<TargetObservation> {
-  const seen = await core.adapter.observe(
+/**
+ * Probes once and updates the agent's state; rejects when the target does not
+ * respond.
+ */
+export async function probeTarget(core: AgentCore): Promise<TargetObservation> {
+  const observation = await core.adapter.observe(
     AbortSignal.timeout(PROBE_TIMEOUT_MS)
   );
   const nowMs = performance.now();
-  const cold = core.state.observed(seen, core.gate.outstanding, nowMs);
-  core.observed(seen);
-  core.prefixes.apply(seen.cacheEvents);
-  if (cold !== undefined) countCold(core, cold);
-  return seen;
+  const coldReason = core.state.recordObservation(
+    observation,
+    core.gate.outstanding,
+    nowMs
+  );
+  core.recordObservation(observation);
+  core.prefixes.apply(observation.cacheEvents);
+  if (coldReason !== undefined) reportCold(core, coldReason);
+  return observation;
 }
 
-async function observeOnce(
+async function probeOnce(
   core: AgentCore,
-  onSeen: (seen: TargetObservation) => void
+  onObservation: (observation: TargetObservation) => void
 ): Promise<void> {
   try {
-    onSeen(await lookAtTarget(core));
+    onObservation(await probeTarget(core));
   } catch (err) {
-    if (core.state.ready) countCold(core, 'unreachable');
-    core.state.lost(performance.now());
-    core.logger.debug({err: String(err)}, 'the target did not answer a probe');
+    if (core.state.ready) reportCold(core, 'unreachable');
+    core.state.markUnreachable(performance.now());
+    core.logger.debug(
+      {err: String(err)},
+      `probe of target ${core.targetId} failed; nothing new starts there`
+    );
   }
-  core.gate.pump();
+  core.gate.admitQueued();
 }
 
-function countCold(core: AgentCore, reason: string): void {
+function reportCold(core: AgentCore, reason: string): void {
   core.metrics.count('gate.cold', {reason});
-  core.logger.info({reason}, 'the target is taken for cold');
+  core.logger.info(
+    {reason},
+    `target ${core.targetId} is cold (${reason}); its concurrency ramp restarts`
+  );
 }
--- a/src/agent/tokenPace.ts
+++ b/src/agent/tokenPace.ts
@@ -1,4 +1,4 @@
-/** What the time between tokens tells of a target's strain. */
+/** Detects an overloaded engine by the time between its tokens. */
 
 import {
   ConcurrencyState,
@@ -10,73 +10,83 @@
 } from '../policy/concurrencyLimit';
 import type {RampSample, WarmupLimits} from '../policy/ramp';
 
-/** Steps between two samples of the ramp. */
-const RAMP_SAMPLE_STEPS = 5;
-/** All streams get a token in one step; one of them stands for the step. */
-const SAME_STEP_PART = 0.8;
+const PASSES_PER_RAMP_SAMPLE = 5;
+/**
+ * Every stream gets one token in each pass. A token that follows the last used
+ * one by less than this part of its own gap belongs to the same pass.
+ */
+const MIN_PASS_GAP_RATIO = 0.8;
 
-/** Two tokens of one stream; times are `performance.now()` milliseconds. */
+/**
+ * Time between two tokens of one stream, in `performance.now()` milliseconds.
+ */
 export interface TokenGap {
   readonly nowMs: number;
-  /** When the token before came. */
+  /** Arrival of the previous token. */
   readonly startedAtMs: number;
   readonly outstanding: number;
 }
 
-/** Follows the steps of one engine by the tokens of its streams. */
-export class TokenPace {
+/** Measures the pass duration of one engine by the tokens of its streams. */
+export class TokenLatencyMonitor {
   private state: ConcurrencyState | undefined;
-  private prefilling = 0;
-  private prefilledAtMs = -Infinity;
-  private sampledAtMs = -Infinity;
-  private steps = 0;
+  private activePrefills = 0;
+  private lastPrefillEndedAtMs = -Infinity;
+  private lastPassAtMs = -Infinity;
+  private passes = 0;
 
-  prefillBegan(): void {
-    this.prefilling++;
+  prefillStarted(): void {
+    this.activePrefills++;
   }
 
   prefillEnded(nowMs: number): void {
-    this.prefilling--;
-    this.prefilledAtMs = nowMs;
+    this.activePrefills--;
+    this.lastPrefillEndedAtMs = nowMs;
   }
 
-  /** A sample for the ramp, now and then. */
-  take(
+  /** Records a gap; returns a sample for the ramp every few passes. */
+  recordGap(
     {nowMs, startedAtMs, outstanding}: TokenGap,
     rule: WarmupLimits,
-    warm: boolean
+    isWarm: boolean
   ): RampSample | undefined {
     const gapMs = nowMs - startedAtMs;
-    if (nowMs - this.sampledAtMs < gapMs * SAME_STEP_PART) return undefined;
-    this.sampledAtMs = nowMs;
-    // A step that also takes in prompts is longer without any strain.
-    const prefilled = this.prefilling > 0 || this.prefilledAtMs > startedAtMs;
-    if (!prefilled) this.learn(gapMs, outstanding, rule, warm);
-    if (++this.steps % RAMP_SAMPLE_STEPS !== 0) return undefined;
-    const spanMs = gapMs * RAMP_SAMPLE_STEPS;
+    if (nowMs - this.lastPassAtMs < gapMs * MIN_PASS_GAP_RATIO)
+      return undefined;
+    this.lastPassAtMs = nowMs;
+    // A pass that also processes prompts takes longer without any overload.
+    const overlapsPrefill =
+      this.activePrefills > 0 || this.lastPrefillEndedAtMs > startedAtMs;
+    if (!overlapsPrefill)
+      this.updateConcurrency(gapMs, outstanding, rule, isWarm);
+    if (++this.passes % PASSES_PER_RAMP_SAMPLE !== 0) return undefined;
+    const spanMs = gapMs * PASSES_PER_RAMP_SAMPLE;
     const slowdown = this.state === undefined ? 1 : latencyRise(this.state);
     return {nowMs, startedAtMs: nowMs - spanMs, outstanding, slowdown};
   }
 
-  /** Requests at once; the whole of the rule while nothing is known. */
+  /** Concurrency limit; the rule's maximum before the first measurement. */
   limit(rule: WarmupLimits): number {
     if (this.state === undefined) return rule.full;
     return concurrencyLimit(this.state, rule);
   }
 
-  /** Step time now over the usual one, at least 1; 1 while nothing is known. */
+  /**
+   * Current over usual pass duration, at least 1; 1 before the first
+   * measurement.
+   */
   slowdown(): number {
     return this.state === undefined ? 1 : Math.max(1, latencyRise(this.state));
   }
 
-  private learn(
+  private updateConcurrency(
     latencyMs: number,
     outstanding: number,
     rule: WarmupLimits,
-    warm: boolean
+    isWarm: boolean
   ): void {
     const state = this.state ?? freshConcurrency(rule);
-    this.state = warm
+    this.state = isWarm
       ? observeLatency(state, rule, {latencyMs, outstanding})
       : learnLatency(state, latencyMs);
   }
--- a/src/target/createTargetAdapter.ts
+++ b/src/target/createTargetAdapter.ts
@@ -1,4 +1,4 @@
-/** Chooses the adapter for a kind of target. */
+/** Creates the adapter for each kind of target. */
 
 import {unreachable} from '../core/errors';
 import {EngineAdapter} from './engineAdapter';
@@ -8,13 +8,15 @@
 /** As in the rule `pool NAME engine|service`. */
 export type TargetKind = 'engine' | 'service';
 
-/** What differs between deployments. */
+/** Options that depend on the deployment. */
 export interface TargetOptions {
-  /** Path of a service's health check; a TCP connect when absent. */
+  /**
+   * Path of a service's health check; without it, a TCP connect is the check.
+   */
   readonly healthPath?: string;
 }
 
-/** Creates the adapter of the target at an address. */
+/** Creates the adapter for the target at an address. */
 export function createTargetAdapter(
   kind: TargetKind,
   host: string,
--- a/src/target/engineAdapter.ts
+++ b/src/target/engineAdapter.ts
@@ -1,4 +1,6 @@
-/** A model engine: its status page, orders, cancel and request headers. */
+/**
+ * Adapter to a model engine: its status, orders, cancels and request headers.
+ */
 
 import * as z from 'zod';
 import type {Dispatch} from '../core/wire';
@@ -28,7 +30,7 @@
   bootId: z.string().min(1),
   state: z.enum(['ready', 'loading']),
   cold: z.boolean().optional(),
-  /** The engine's clock at the answer. */
+  /** The engine's clock at the response. */
   nowMs: z.number(),
   load: z.object({
     running: COUNT,
@@ -53,7 +55,7 @@
       holding: z.boolean(),
     })
     .optional(),
-  /** Totals since the boot. */
+  /** Total tokens of each expert since the boot. */
   expertTokens: z.array(COUNT).optional(),
   cacheEvents: z.array(CACHE_EVENT),
 });
@@ -73,7 +75,7 @@
 export class EngineAdapter implements TargetAdapter {
   readonly peer: string;
   private readonly client: TargetClient;
-  private last: Status | undefined;
+  private lastStatus: Status | undefined;
   private lastCacheSeq = 0;
 
   constructor(host: string, port: number) {
@@ -84,19 +86,20 @@
   async observe(signal: AbortSignal): Promise<TargetObservation> {
     const path = `${STATUS_PATH}?cacheSince=${this.lastCacheSeq}`;
     const answer = await this.client.get(path, signal);
-    const status = this.read(STATUS, answer.status, answer.body);
-    return this.take(status);
+    const status = this.parse(STATUS, answer.status, answer.body);
+    return this.applyStatus(status);
   }
 
   requestHeaders(dispatch: Dispatch): RequestHeaders {
     const headers: Record<string, string> = {
       'x-request-id': engineRequestId(dispatch),
-      // Events are read on the way, which compressed ones could not be.
+      // The events are parsed while they are relayed, so they must not be
+      // compressed.
       'accept-encoding': 'identity',
       'x-priority': String(dispatch.priority),
       'x-deadline-ms': String(Math.floor(dispatch.remainingMs)),
     };
-    // Token ids count from 0, so the last delivered one is one below the count.
+    // Token ids start at 0, so the last delivered id is the count minus one.
     if (dispatch.resumeFrom !== undefined && dispatch.resumeFrom > 0)
       headers['last-event-id'] = String(dispatch.resumeFrom - 1);
     return headers;
@@ -106,76 +109,81 @@
     const requestId = engineRequestId(attempt);
     const answer = await this.client.post(CANCEL_PATH, {requestId}, signal);
     if (answer.status === NOT_FOUND) return {kind: 'unsupported'};
-    const {cancelled} = this.read(CANCEL_ANSWER, answer.status, answer.body);
+    const {cancelled} = this.parse(CANCEL_ANSWER, answer.status, answer.body);
     return cancelled ? {kind: 'cancelled'} : {kind: 'not running'};
   }
 
   async order(order: TargetOrder, signal: AbortSignal): Promise<OrderAnswer> {
     const answer = await this.client.post(ORDER_PATH, order, signal);
     if (answer.status === NOT_FOUND) return {kind: 'unsupported'};
-    return this.read(ORDER_ANSWER, answer.status, answer.body);
+    return this.parse(ORDER_ANSWER, answer.status, answer.body);
   }
 
   close(): void {
     this.client.close();
   }
 
-  /** Answers can overtake each other; an older one must not win. */
-  private take(status: Status): TargetObservation {
-    const before = this.last?.bootId === status.bootId ? this.last : undefined;
-    const late = before !== undefined && before.nowMs > status.nowMs;
-    const newest = late ? before : status;
-    const cacheEvents = this.takeCacheEvents(status, before === undefined);
-    this.last = newest;
+  /**
+   * Responses can arrive out of order; an older status must not replace a newer
+   * one.
+   */
+  private applyStatus(status: Status): TargetObservation {
+    const previous =
+      this.lastStatus?.bootId === status.bootId ? this.lastStatus : undefined;
+    const isStale = previous !== undefined && previous.nowMs > status.nowMs;
+    const latest = isStale ? previous : status;
+    const cacheEvents = this.newCacheEvents(status, previous === undefined);
+    this.lastStatus = latest;
     return {
-      bootId: newest.bootId,
-      state: newest.state,
-      cold: newest.cold,
+      bootId: latest.bootId,
+      state: latest.state,
+      cold: latest.cold,
       load: {
-        ...newest.load,
-        loadAgeMs: Math.max(0, newest.nowMs - newest.load.reportedAtMs),
+        ...latest.load,
+        loadAgeMs: Math.max(0, latest.nowMs - latest.load.reportedAtMs),
       },
-      model: newest.model,
-      modelVersion: newest.modelVersion,
-      role: newest.role,
-      adapters: newest.adapters,
-      group: newest.group,
-      expertCounts: increase(newest.expertTokens, before?.expertTokens),
+      model: latest.model,
+      modelVersion: latest.modelVersion,
+      role: latest.role,
+      adapters: latest.adapters,
+      group: latest.group,
+      expertCounts: increments(latest.expertTokens, previous?.expertTokens),
       cacheEvents,
     };
   }
 
-  private takeCacheEvents(status: Status, newBoot: boolean): CacheEvents {
-    if (newBoot) this.lastCacheSeq = 0;
+  private newCacheEvents(status: Status, isNewBoot: boolean): CacheEvents {
+    if (isNewBoot) this.lastCacheSeq = 0;
     const events = status.cacheEvents
       .filter(event => event.seq > this.lastCacheSeq)
       .sort((a, b) => a.seq - b.seq);
-    const highest = events.at(-1)?.seq ?? this.lastCacheSeq;
-    const missed = highest - this.lastCacheSeq - events.length;
-    this.lastCacheSeq = highest;
+    const highestSeq = events.at(-1)?.seq ?? this.lastCacheSeq;
+    const missed = highestSeq - this.lastCacheSeq - events.length;
+    this.lastCacheSeq = highestSeq;
     return {events, missed};
   }
 
-  private read<T>(schema: z.ZodType<T>, status: number, body: unknown): T {
+  private parse<T>(schema: z.ZodType<T>, status: number, body: unknown): T {
     const result = schema.safeParse(body);
     if (result.success) return result.data;
     throw this.client.rejected(
       status,
-      `unexpected answer: ${z.prettifyError(result.error)}`
+      `unexpected response: ${z.prettifyError(result.error)}`
     );
   }
 }
 
 /**
- * A stream may be resumed on the very engine that lost it. The cancel of the
- * lost attempt can arrive after that, and must not stop the new one.
+ * Request id for the engine, unique to the attempt. A stream may be resumed on
+ * the engine that lost it, and a late cancel of the lost attempt must not stop
+ * the new one.
  */
 function engineRequestId({requestId, attempt}: AttemptId): string {
   return `${requestId}.${attempt}`;
 }
 
-/** Growth of running totals; the totals themselves after a restart. */
-function increase(
+/** Increments of running totals; the totals themselves after a restart. */
+function increments(
   now: readonly number[] | undefined,
   before: readonly number[] | undefined
 ): readonly number[] | undefined {
--- a/src/target/serviceAdapter.ts
+++ b/src/target/serviceAdapter.ts
@@ -1,4 +1,4 @@
-/** A plain service: a health check, no orders, no cancel. */
+/** Adapter to a plain service: a health check, but no orders and no cancel. */
 
 import net from 'node:net';
 import * as z from 'zod';
@@ -32,7 +32,7 @@
 type Health = z.infer<typeof HEALTH>;
 
 const NO_CACHE_EVENTS = {events: [], missed: 0};
-const BARELY_READY: TargetObservation = {
+const READY_WITHOUT_DETAILS: TargetObservation = {
   state: 'ready',
   adapters: [],
   cacheEvents: NO_CACHE_EVENTS,
@@ -55,13 +55,13 @@
   async observe(signal: AbortSignal): Promise<TargetObservation> {
     if (this.healthPath === undefined) {
       await this.connect(signal);
-      return BARELY_READY;
+      return READY_WITHOUT_DETAILS;
     }
-    const answer = await this.client.get(this.healthPath, signal);
-    if (answer.status >= FIRST_ERROR_STATUS)
-      throw this.client.rejected(answer.status, 'the health check failed');
-    const health = HEALTH.safeParse(answer.body);
-    return health.success ? observed(health.data) : BARELY_READY;
+    const response = await this.client.get(this.healthPath, signal);
+    if (response.status >= FIRST_ERROR_STATUS)
+      throw this.client.rejected(response.status, 'the health check failed');
+    const health = HEALTH.safeParse(response.body);
+    return health.success ? toObservation(health.data) : READY_WITHOUT_DETAILS;
   }
 
   requestHeaders(dispatch: Dispatch): RequestHeaders {
@@ -98,11 +98,11 @@
   }
 }
 
-function observed(health: Health): TargetObservation {
+function toObservation(health: Health): TargetObservation {
   const nowMs = health.nowMs ?? Date.now();
   const reportedAtMs = health.load?.reportedAtMs ?? nowMs;
   return {
-    ...BARELY_READY,
+    ...READY_WITHOUT_DETAILS,
     bootId: health.bootId,
     state: health.state,
     cold: health.cold,
--- a/src/target/targetAdapter.ts
+++ b/src/target/targetAdapter.ts
@@ -1,45 +1,49 @@
 /**
- * What an agent needs of its target. Only src/target knows the paths, headers
- * and fields of a target's own interface.
+ * The agent's interface to its target. The paths, headers and fields of the
+ * target's own API are known only in src/target.
  */
 
 import type {Dispatch} from '../core/wire';
 
-/** Load as the target itself last measured it; it lags behind the truth. */
+/** Load as last measured by the target; it lags behind the actual load. */
 export interface LoadReport {
-  /** Requests being worked on. */
+  /** Requests being processed. */
   readonly running: number;
-  /** Requests waiting inside the target. */
+  /** Requests queued inside the target. */
   readonly waiting: number;
   /** Prompt and output tokens of running and waiting requests. */
   readonly tokensInWork: number;
-  /** When the target measured this, milliseconds on its own clock. */
+  /** Time of the measurement, in milliseconds on the target's clock. */
   readonly reportedAtMs: number;
-  /** Milliseconds between that measurement and this observation. */
+  /** Milliseconds from the measurement to this observation. */
   readonly loadAgeMs: number;
 }
 
-/** Place of an engine in a group of ranks that run in lock-step. */
+/** An engine's position and state in a group of ranks that run in lock-step. */
 export interface RankReport {
   readonly id: string;
   readonly rank: number;
-  /** Ranks in the group, experts of a layer and slots of the whole group. */
+  /**
+   * Number of ranks in the group, experts per layer, and slots in the group.
+   */
   readonly ranks: number;
   readonly experts: number;
   readonly slots: number;
-  /** Steps that the rank has completed. */
+  /** Passes that the rank has completed. */
   readonly step: number;
-  /** Expert map in use. */
+  /** Version of the expert map in use. */
   readonly mapVersion: number;
-  /** Prepared map that waits for its decision. */
+  /** Version of the prepared map that awaits its decision. */
   readonly preparedVersion?: number;
-  /** Whether the rank stands at its switch step until it knows the decision. */
+  /**
+   * Whether the rank holds before its switch step until it has the decision.
+   */
   readonly holding: boolean;
 }
 
 /** One change of the target's prefix cache. */
 export interface CacheEvent {
-  /** Grows by one with every event of one boot. */
+  /** Increases by one with every event of one boot. */
   readonly seq: number;
   readonly kind: 'stored' | 'removed';
   /** Digest of the prompt prefix. */
@@ -50,8 +54,8 @@
 export interface CacheEvents {
   readonly events: readonly CacheEvent[];
   /**
-   * Events that were lost before these: what is known of the cache is then
-   * incomplete, and prefixes that were removed may look present.
+   * Number of events that were lost before these. Removals may be among them,
+   * so prefixes that appear to be cached may be gone.
    */
   readonly missed: number;
 }
@@ -59,12 +63,12 @@
 /** Role of an engine in disaggregated serving. */
 export type TargetRole = 'mixed' | 'prefill' | 'decode';
 
-/** What one look at the target showed. */
+/** State of the target as reported by one probe. */
 export interface TargetObservation {
   /** Random at each start of the target; plain services may have none. */
   readonly bootId?: string;
   readonly state: 'ready' | 'loading';
-  /** Absent when the target reports no load. */
+  /** Absent when the target does not report its load. */
   readonly load?: LoadReport;
   readonly model?: string;
   readonly modelVersion?: string;
@@ -74,11 +78,14 @@
   /** Tokens routed to each expert since the last observation. */
   readonly expertCounts?: readonly number[];
   readonly cacheEvents: CacheEvents;
-  /** What the target claims; it may claim to be warm for a while after. */
+  /**
+   * As reported by the target, which may report warm for a while after it got
+   * cold.
+   */
   readonly cold?: boolean;
 }
 
-/** An order; all orders to a target carry a fencing number. */
+/** An order to a target; every order has a fencing token. */
 export type TargetOrder = {readonly fence: number} & (
   | {
       readonly kind: 'loadModel';
@@ -91,11 +98,11 @@
   | {
       readonly kind: 'prepareMap';
       readonly version: number;
-      /** First step that may use the map; the rank holds there. */
+      /** First pass that may use the map; the rank holds before it. */
       readonly switchStep: number;
-      /** Expert of each physical slot, by rank. */
+      /** Expert in each physical slot, by rank. */
       readonly slots: readonly (readonly number[])[];
-      /** Part of its expert's tokens that each slot takes, 0 to 1. */
+      /** Share of its expert's tokens that each slot takes, 0 to 1. */
       readonly shares: readonly (readonly number[])[];
     }
   | {
@@ -111,22 +118,22 @@
     }
 );
 
-/** What became of an order. When that is not known, `order` rejects instead. */
+/** Outcome of an order; when it is unknown, `order` rejects. */
 export type OrderAnswer =
   | {readonly kind: 'done'}
-  /** A newer fencing number has been seen. */
+  /** The target has received a newer fencing token. */
   | {readonly kind: 'fenced'; readonly highestFence: number}
   | {readonly kind: 'failed'; readonly detail: string}
   | {readonly kind: 'unsupported'};
 
-/** What became of a cancel. */
+/** Outcome of a cancel. */
 export type CancelAnswer =
   | {readonly kind: 'cancelled'}
-  /** No such request runs; it never came, or has ended. */
+  /** The request does not run: it did not arrive, or has ended. */
   | {readonly kind: 'not running'}
   | {readonly kind: 'unsupported'};
 
-/** One attempt of one request; a Dispatch is one. */
+/** Identifies one attempt of a request; a Dispatch has these fields. */
 export type AttemptId = Pick<Dispatch, 'requestId' | 'attempt'>;
 
 /** Headers to set on a request to the target, lower case. */
@@ -134,18 +141,18 @@
 
 /**
  * One target. Calls reject with PeerError, step `target`, when the outcome is
- * not known: `unreachable` only when no byte was sent.
+ * unknown. Its fault is `unreachable` only when no byte was sent.
  */
 export interface TargetAdapter {
-  /** Host and port of the target, as in errors. */
+  /** Host and port of the target, for error messages. */
   readonly peer: string;
-  /** Rejects when the target does not answer before the signal aborts. */
+  /** Rejects when the target does not respond before the signal aborts. */
   observe(signal: AbortSignal): Promise<TargetObservation>;
-  /** Headers for the target, over those of the caller. */
+  /** Headers for the target; they replace the caller's. */
   requestHeaders(dispatch: Dispatch): RequestHeaders;
-  /** Stops one attempt that still runs there. Safe to repeat. */
+  /** Cancels one attempt that still runs at the target. Idempotent. */
   cancel(attempt: AttemptId, signal: AbortSignal): Promise<CancelAnswer>;
   order(order: TargetOrder, signal: AbortSignal): Promise<OrderAnswer>;
-  /** Drops idle connections to the target. */
+  /** Closes idle connections to the target. */
   close(): void;
 }
--- a/src/target/targetClient.ts
+++ b/src/target/targetClient.ts
@@ -1,20 +1,25 @@
-/** JSON over HTTP to one target, with errors that say what they prove. */
+/**
+ * JSON over HTTP to one target; errors tell whether a request may have been
+ * sent.
+ */
 
 import http from 'node:http';
 import {PeerError} from '../core/errors';
 import type {PeerFault} from '../core/errors';
 
-const MAX_ANSWER_BYTES = 4 << 20;
+const MAX_RESPONSE_BYTES = 4 << 20;
 const STEP = 'target';
 
-/** A whole answer of the target. */
-export interface TargetAnswer {
+/** A complete response of the target. */
+export interface TargetResponse {
   readonly status: number;
-  /** The parsed JSON, or undefined when the body is no JSON. */
+  /** The parsed JSON, or undefined when the body is not JSON. */
   readonly body: unknown;
 }
 
-/** Calls of an agent to its target, besides the requests it relays. */
+/**
+ * Calls from the agent itself to its target; relayed requests do not pass here.
+ */
 export class TargetClient {
   readonly peer: string;
   private readonly agent = new http.Agent({keepAlive: true, maxSockets: 4});
@@ -27,17 +32,18 @@
   }
 
   /**
-   * A connection that idles may be closed by the target at the moment of
-   * reuse, which looks like a lost target and would start a cold ramp. A GET
-   * is idempotent, so it is sent once more over a fresh connection.
+   * Retries once on a fresh connection if a reused one fails. The target may
+   * close an idle connection just as it is reused; without the retry, that
+   * would look like an unreachable target and restart its ramp. A GET is
+   * idempotent.
    */
-  async get(path: string, signal: AbortSignal): Promise<TargetAnswer> {
+  async get(path: string, signal: AbortSignal): Promise<TargetResponse> {
     const first = this.send('GET', path, undefined, signal, this.agent);
-    const answer = await first.done.catch((err: unknown) => {
+    const response = await first.done.catch((err: unknown) => {
       if (signal.aborted || !first.req.reusedSocket) throw err;
       return undefined;
     });
-    if (answer !== undefined) return answer;
+    if (response !== undefined) return response;
     return this.send('GET', path, undefined, signal, false).done;
   }
 
@@ -45,13 +51,13 @@
     path: string,
     body: unknown,
     signal: AbortSignal
-  ): Promise<TargetAnswer> {
-    // A fresh connection: an order that is lost to a closing idle connection
-    // would have an unknown outcome for no reason.
+  ): Promise<TargetResponse> {
+    // A fresh connection, since an order sent on an idle connection that closes
+    // would have an unknown outcome.
     return this.send('POST', path, JSON.stringify(body), signal, false).done;
   }
 
-  /** An error for an answer that cannot be used. */
+  /** Creates the error for a response that cannot be used. */
   rejected(status: number, detail: string): PeerError {
     return new PeerError(
       {kind: 'rejected', code: status},
@@ -83,15 +89,15 @@
       agent,
       signal,
     });
-    const done = this.collect(req, signal);
+    const done = this.readResponse(req, signal);
     req.end(body);
     return {req, done};
   }
 
-  private collect(
+  private readResponse(
     req: http.ClientRequest,
     signal: AbortSignal
-  ): Promise<TargetAnswer> {
+  ): Promise<TargetResponse> {
     let connected = false;
     req.on('socket', socket => {
       connected = !socket.connecting;
@@ -104,8 +110,8 @@
       };
       req.on('error', fail);
       req.on('response', res => {
-        readWhole(res).then(
-          text => resolve({status: res.statusCode ?? 0, body: parsed(text)}),
+        readText(res).then(
+          text => resolve({status: res.statusCode ?? 0, body: parseJson(text)}),
           fail
         );
       });
@@ -123,19 +129,21 @@
   return aborted ? {kind: 'timeout'} : {kind: 'lost'};
 }
 
-async function readWhole(res: http.IncomingMessage): Promise<string> {
+async function readText(res: http.IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of res as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too large');
+    if (size > MAX_RESPONSE_BYTES)
+      throw new Error(`the response exceeds ${MAX_RESPONSE_BYTES} bytes`);
     chunks.push(chunk);
   }
-  if (!res.complete) throw new Error('the answer was cut short');
+  if (!res.complete)
+    throw new Error('the connection closed before the end of the response');
   return Buffer.concat(chunks).toString('utf8');
 }
 
-function parsed(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/tests/admission.spec.ts
+++ b/tests/admission.spec.ts
@@ -31,15 +31,16 @@
 }
 
 describe('admission at the gate', () => {
-  it('should let work in when all holds, also while control is down', () => {
+  it('should admit a request when all conditions hold, also while control is down', () => {
     expect(reason({})).toBeUndefined();
     expect(reason({freshness: {kind: 'control down'}})).toBeUndefined();
     expect(reason({}, {revision: 4})).toBeUndefined();
   });
 
-  // Each of these once let new work reach a target that must get none: it is
-  // leaving, another boot than the entry meant, under older rules than the
-  // entry's, with no proof of its rules, or in a zone that is out.
+  // Guards against new requests at a target that must not get any: it is
+  // leaving or changing its model, the dispatch was sent to another boot, the
+  // rules are older than the entry's or not proven, the zone is out, or it is
+  // not ready.
   it.each([
     ['target-leaving', {leaving: true}, {}],
     ['target-changed', {changing: true}, {}],
--- a/tests/agentLimit.spec.ts
+++ b/tests/agentLimit.spec.ts
@@ -16,7 +16,7 @@
   cacheEvents: {events: [], missed: 0},
 } as const;
 
-function agentCore(): AgentCore {
+function createAgent(): AgentCore {
   return new AgentCore({
     target: {
       id: 'allocation-0',
@@ -36,12 +36,12 @@
 }
 
 describe('limit of an agent', () => {
-  // A target that may start with four gets one request at a time for minutes.
-  // Its agent announced itself before it knew the rules, under the default
-  // ramp; the true rule was then taken for a change in the middle of the ramp.
-  it('should begin at the start that the rules give, whenever they come', () => {
-    const core = agentCore();
-    core.state.observed(READY, 0, performance.now());
+  // An agent announced itself before it had the rules, with the default ramp.
+  // The first rule then counted as a change during the ramp, and a target that
+  // may start with 4 requests got one at a time for minutes.
+  it('should begin at the start of the rule, whenever the rules arrive', () => {
+    const core = createAgent();
+    core.state.recordObservation(READY, 0, performance.now());
     expect(core.announcement().limit).toBe(0);
     const parsed = parseRules(RULES);
     if (!parsed.ok) throw new Error('rules');
@@ -50,39 +50,39 @@
     expect(core.announcement().limit).toBe(4);
   });
 
-  // A target comes back with another model under the same agent. Entries that
-  // have not heard of it yet would get that model's answer for the one they
-  // asked; what they send is for a boot that is over, and is refused unrun.
+  // A target returns with another model under the same agent. Entries that do
+  // not know it yet would get a response of the wrong model; with a new boot id
+  // their dispatches are refused before they run.
   it('should take a new boot id when its target shows another model', () => {
-    const core = agentCore();
-    const boots = [
+    const core = createAgent();
+    const bootIds = [
       ...['phi', 'phi', 'llama'].map(model => ({model, modelVersion: 'v1'})),
       {model: 'llama', modelVersion: 'v2'},
-    ].map(held => {
-      core.observed({...READY, ...held});
+    ].map(loaded => {
+      core.recordObservation({...READY, ...loaded});
       return core.agentBootId;
     });
-    expect(boots[1]).toBe(boots[0]);
-    expect(new Set(boots).size).toBe(3);
+    expect(bootIds[1]).toBe(bootIds[0]);
+    expect(new Set(bootIds).size).toBe(3);
   });
 
-  it('should be 0 while the target is given another model', () => {
-    const core = agentCore();
+  it('should be 0 while the target changes its model', () => {
+    const core = createAgent();
     const parsed = parseRules(RULES);
     if (!parsed.ok) throw new Error('rules');
     const rules = {revision: 1, index: new RuleIndex(parsed.ruleSet)};
     core.attach({rules} as unknown as ControlSync);
-    core.state.observed(READY, 0, performance.now());
+    core.state.recordObservation(READY, 0, performance.now());
     const sinceMs = performance.now();
     for (let nowMs = sinceMs; nowMs < sinceMs + 50_000; nowMs += 100)
-      core.state.served(
+      core.state.recordResponse(
         {nowMs, startedAtMs: nowMs - 50, outstanding: 16, cost: 1},
         core.warmup()
       );
     expect(core.announcement().temperature).toBe('warm');
-    core.beginChange();
+    core.beginModelChange();
     expect(core.announcement().limit).toBe(0);
-    core.endChange(true);
+    core.endModelChange(true);
     const {limit, temperature} = core.announcement();
     expect(temperature).not.toBe('warm');
     expect(limit).toBeLessThan(16);
--- a/tests/gate.spec.ts
+++ b/tests/gate.spec.ts
@@ -25,16 +25,16 @@
   priority: 0,
 };
 
-function rulesOf(text: string): RuleIndex {
+function parseIndex(text: string): RuleIndex {
   const parsed = parseRules(text);
   if (!parsed.ok) throw new Error(JSON.stringify(parsed.problems));
   return new RuleIndex(parsed.ruleSet);
 }
 
 describe('gate', () => {
-  const index = rulesOf(RULES);
+  const index = parseIndex(RULES);
   let limit: number;
-  let barred: Refusal | undefined;
+  let refusal: Refusal | undefined;
   let gate: Gate;
   let ids = 0;
 
@@ -42,29 +42,31 @@
     targetId: 'planner-1',
     rules: () => index,
     limit: () => limit,
-    refusal: () => barred,
+    refusal: () => refusal,
   };
 
-  /** Enters, and tells later how it went without waiting for it. */
-  const enter = (
-    change: Partial<Dispatch> = {},
+  /** Acquires a slot without waiting; the outcome is filled in later. */
+  const acquire = (
+    overrides: Partial<Dispatch> = {},
     signal = new AbortController().signal
   ) => {
-    const seen: {slot?: Slot; reason?: string} = {};
-    gate.enter({...REQUEST, requestId: `r${++ids}`, ...change}, signal).then(
-      slot => (seen.slot = slot),
-      (err: unknown) =>
-        (seen.reason =
-          err instanceof RefusalError ? err.refusal.reason : String(err))
-    );
-    return seen;
+    const outcome: {slot?: Slot; reason?: string} = {};
+    gate
+      .acquire({...REQUEST, requestId: `r${++ids}`, ...overrides}, signal)
+      .then(
+        slot => (outcome.slot = slot),
+        (err: unknown) =>
+          (outcome.reason =
+            err instanceof RefusalError ? err.refusal.reason : String(err))
+      );
+    return outcome;
   };
   const settle = () => jest.advanceTimersByTimeAsync(0);
 
   beforeEach(() => {
     jest.useFakeTimers();
     limit = 2;
-    barred = undefined;
+    refusal = undefined;
     gate = new Gate(view, new Metrics('test'));
   });
 
@@ -72,11 +74,12 @@
     jest.useRealTimers();
   });
 
-  // A target in a cold start falls over: three entries each keep to its limit
-  // and together exceed it. The count stands here, where all work meets.
-  it('should never run more at once than the target bears', async () => {
+  // Three entries that each keep to the limit of a cold target exceed it
+  // together and overload it. All requests pass the gate, so the limit is
+  // enforced there.
+  it('should never run more requests than the limit', async () => {
     const all = Array.from({length: 5}, (_, i) =>
-      enter({customer: `c${i}`, entryId: `entry-${i}`})
+      acquire({customer: `c${i}`, entryId: `entry-${i}`})
     );
     await settle();
     expect(all.filter(one => one.slot)).toHaveLength(2);
@@ -87,8 +90,8 @@
   });
 
   it('should give a slot back once, however often it is released', async () => {
-    const first = enter({customer: 'a'});
-    const second = enter({customer: 'b'});
+    const first = acquire({customer: 'a'});
+    const second = acquire({customer: 'b'});
     await settle();
     first.slot?.release();
     first.slot?.release();
@@ -96,11 +99,11 @@
     expect(second.slot).toBeDefined();
   });
 
-  // The target turned cold with work running: queued work must wait for the
-  // lower limit, not for any slot that comes free.
+  // A target gets cold while requests run. Queued requests must wait for the
+  // lower limit, not for the next released slot.
   it('should start nothing while a lower limit is exceeded', async () => {
-    const running = [enter({customer: 'a'}), enter({customer: 'b'})];
-    const waiting = enter({customer: 'c'});
+    const running = [acquire({customer: 'a'}), acquire({customer: 'b'})];
+    const waiting = acquire({customer: 'c'});
     await settle();
     limit = 1;
     running[0]?.slot?.release();
@@ -111,28 +114,28 @@
     expect(waiting.slot).toBeDefined();
   });
 
-  // Operators take the zone out while requests wait in the queue. Each must be
-  // told at once that it has not run; none may start when a slot comes free.
-  it('should refuse what waits as soon as the zone is out', async () => {
+  // An operator takes the zone out while requests are queued. They must be
+  // refused at once as not run, and none may start when a slot is released.
+  it('should refuse queued requests as soon as the zone is out', async () => {
     limit = 1;
-    enter({customer: 'a'});
-    const waiting = enter({customer: 'b'});
+    acquire({customer: 'a'});
+    const waiting = acquire({customer: 'b'});
     await settle();
-    barred = {reason: 'zone-out', step: 'gate', peer: 'planner-1', detail: ''};
-    gate.recheck();
+    refusal = {reason: 'zone-out', step: 'gate', peer: 'planner-1', detail: ''};
+    gate.recheckQueued();
     await settle();
     expect(waiting).toEqual({reason: 'zone-out'});
     expect(REFUSALS['zone-out'].outcome).toBe('not run');
     expect(gate.queued).toBe(0);
   });
 
-  // The rules arrive between the recheck and the free slot: judged again then.
-  it('should judge a request again when its turn comes', async () => {
+  // The rules may change between the recheck and the release of a slot.
+  it('should check a request again when its turn comes', async () => {
     limit = 1;
-    const running = enter({customer: 'a'});
-    const waiting = enter({customer: 'b'});
+    const running = acquire({customer: 'a'});
+    const waiting = acquire({customer: 'b'});
     await settle();
-    barred = {
+    refusal = {
       reason: 'target-leaving',
       step: 'gate',
       peer: 'planner-1',
@@ -143,34 +146,34 @@
     expect(waiting).toEqual({reason: 'target-leaving'});
   });
 
-  // Nothing else happens at this target, so no event would look at the queue:
-  // the answer must come when the deadline passes, not with the next request.
-  it('should answer a request whose deadline passes in the queue at once', async () => {
+  // At a target without other requests, no event triggers a check of the queue.
+  // The refusal must come at the deadline, not with the next request.
+  it('should refuse a request at once when its deadline passes in the queue', async () => {
     limit = 0;
-    const waiting = enter({remainingMs: 700});
+    const waiting = acquire({remainingMs: 700});
     await jest.advanceTimersByTimeAsync(699);
     expect(waiting.reason).toBeUndefined();
     await jest.advanceTimersByTimeAsync(2);
     expect(waiting.reason).toBe('deadline-passed');
   });
 
-  it('should forget a request whose caller has gone', async () => {
+  it('should remove a request whose caller has disconnected', async () => {
     limit = 0;
     const gone = new AbortController();
-    const waiting = enter({}, gone.signal);
+    const waiting = acquire({}, gone.signal);
     gone.abort();
     await settle();
     expect(waiting.reason).toBe('deadline-passed');
     expect(gate.queued).toBe(0);
   });
 
-  it('should keep a customer to its own limits', async () => {
+  it('should enforce the limits of each customer', async () => {
     limit = 4;
-    const depot = [enter(), enter()];
+    const depot = [acquire(), acquire()];
     await settle();
     expect(depot.filter(one => one.slot)).toHaveLength(1);
     limit = 1;
-    const harbour = [1, 2, 3].map(() => enter({customer: 'harbour'}));
+    const harbour = [1, 2, 3].map(() => acquire({customer: 'harbour'}));
     await settle();
     expect(harbour.map(one => one.reason)).toEqual([
       undefined,
--- a/tests/rankSwitch.spec.ts
+++ b/tests/rankSwitch.spec.ts
@@ -34,7 +34,7 @@
     return names(this.machine.handle(message, 0));
   }
 
-  take(message: PrepareMessage | ReturnType<typeof decision>) {
+  receive(message: PrepareMessage | ReturnType<typeof decision>) {
     return this.message({kind: 'message', message});
   }
 
@@ -57,7 +57,7 @@
     return this.message({kind: 'prepared', bootId, version, result});
   }
 
-  /** A rank whose agent has learned fence 2 and whose engine runs. */
+  /** A rank that has joined with fence 2 and whose engine runs. */
   static ready(): RankFixture {
     const fixture = new RankFixture();
     fixture.view(VIEW);
@@ -66,13 +66,13 @@
   }
 }
 
-describe('rank side of a map switch', () => {
+describe('map switch at a rank', () => {
   it('should promise only once the engine holds', () => {
     const rank = RankFixture.ready();
-    expect(rank.take(prepare(2, 2))).toEqual(['prepareEngine']);
-    expect(rank.take(prepare(2, 2))).toEqual([]);
+    expect(rank.receive(prepare(2, 2))).toEqual(['prepareEngine']);
+    expect(rank.receive(prepare(2, 2))).toEqual([]);
     expect(rank.prepared(2, 'held')).toEqual(['promise']);
-    expect(rank.take(prepare(2, 2))).toEqual(['promise']);
+    expect(rank.receive(prepare(2, 2))).toEqual(['promise']);
   });
 
   it.each([
@@ -80,38 +80,39 @@
     ['failed', 'load-failed'],
   ] as const)('should refuse when the engine answered %s', (result, reason) => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     expect(rank.prepared(2, result)).toEqual([reason]);
   });
 
-  // A replaced controller's order arrives late at an engine that ignores
-  // fences. If it got through, it would undo the hold of the newer switch and
-  // this rank would run past the step at which all others change maps.
-  it('should refuse an order under an older fence', () => {
+  // An order of a replaced controller arrives late at an engine that does not
+  // check fences. If it were forwarded, it would undo the hold of the newer
+  // switch, and this rank would run past the step at which all others change
+  // maps.
+  it('should refuse an order with an older fence', () => {
     const rank = new RankFixture();
     rank.view(VIEW);
     rank.join('a1/0', 3);
-    expect(rank.take(prepare(2, 9))).toEqual(['fenced']);
-    expect(rank.take(prepare(3, 1))).toEqual(['prepareEngine']);
+    expect(rank.receive(prepare(2, 9))).toEqual(['fenced']);
+    expect(rank.receive(prepare(3, 1))).toEqual(['prepareEngine']);
   });
 
-  // The agent restarts beside an engine that holds for a switch. An old order
-  // arrives before control has told the agent any fence: forwarding it would
-  // undo a promise on which the decision may already rest.
-  it('should take no order after a restart until control has answered', () => {
+  // The agent restarts while its engine holds for a switch. An old order
+  // arrives before the agent has received a fence. If it were forwarded, it
+  // would undo a promise on which control may already have based its decision.
+  it('should refuse orders after a restart until control has replied', () => {
     const rank = new RankFixture();
     rank.view({...VIEW, preparedVersion: V(2, 2)});
-    expect(rank.take(prepare(2, 3))).toEqual(['unready']);
+    expect(rank.receive(prepare(2, 3))).toEqual(['unready']);
     expect(rank.tick(QUIET_MS - 1)).toEqual([]);
     expect(rank.tick(QUIET_MS)).toEqual(['join']);
     rank.join('a1/0');
-    expect(rank.take(prepare(2, 3))).toEqual(['busy', 'decisionQuery']);
-    expect(rank.take(decision(2, 2, 'abort'))).toEqual(['decideEngine']);
+    expect(rank.receive(prepare(2, 3))).toEqual(['busy', 'decisionQuery']);
+    expect(rank.receive(decision(2, 2, 'abort'))).toEqual(['decideEngine']);
   });
 
-  // The engine restarts after its promise. The answer to the question asked
-  // before that restart comes late and names the map from before the switch.
-  it('should ignore the answer to an earlier attempt to join', () => {
+  // The engine restarts after its promise. The reply to a join request from
+  // before that restart arrives late and has the map from before the switch.
+  it('should ignore the reply to an earlier attempt to join', () => {
     const rank = RankFixture.ready();
     rank.view({...VIEW, bootId: 'e2', running: false, mapVersion: 0});
     expect(rank.machine.ready).toBe(false);
@@ -122,53 +123,53 @@
     expect(rank.machine.ready).toBe(true);
   });
 
-  it('should ignore what the engine answered before its restart', () => {
+  it('should ignore a response of the engine from before its restart', () => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     rank.view({...VIEW, bootId: 'e2', running: false, mapVersion: 0});
     expect(rank.prepared(2, 'held')).toEqual([]);
   });
 
-  // The promise of an earlier switch may be the one that let it be committed.
-  it('should keep an undecided promise whoever asks for another', () => {
+  // The earlier switch may have been committed because of this promise.
+  it('should keep an undecided promise when another switch is prepared', () => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     rank.prepared(2, 'held');
-    expect(rank.take(prepare(3, 1))).toEqual(['busy', 'decisionQuery']);
+    expect(rank.receive(prepare(3, 1))).toEqual(['busy', 'decisionQuery']);
     expect(rank.tick(1000)).toEqual(['decisionQuery']);
   });
 
-  // Told of the decision, the engine has not yet reached the step. A further
-  // hold would replace the one that it needs for this very switch.
-  it('should take the next order only once the engine runs with the last map', () => {
+  // The engine has the decision but has not reached the switch step. Another
+  // hold would replace the one that it needs for this switch.
+  it('should accept the next order only when the engine runs with the last map', () => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     rank.prepared(2, 'held');
-    expect(rank.take(decision(2, 2, 'commit'))).toEqual(['decideEngine']);
+    expect(rank.receive(decision(2, 2, 'commit'))).toEqual(['decideEngine']);
     rank.view({...VIEW, step: 20});
-    expect(rank.take(prepare(2, 3))).toEqual(['busy', 'decisionQuery']);
+    expect(rank.receive(prepare(2, 3))).toEqual(['busy', 'decisionQuery']);
     rank.view({...VIEW, step: 21, mapVersion: V(2, 2)});
-    expect(rank.take(prepare(2, 3))).toEqual(['prepareEngine']);
+    expect(rank.receive(prepare(2, 3))).toEqual(['prepareEngine']);
   });
 
-  it('should tell the engine again while it still holds', () => {
+  it('should resend the decision while the engine still holds', () => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     rank.prepared(2, 'held');
-    rank.take(decision(2, 2, 'abort'));
+    rank.receive(decision(2, 2, 'abort'));
     const held = {...VIEW, preparedVersion: V(2, 2)};
     expect(rank.view(held)).toEqual(['decideEngine']);
     expect(rank.view(VIEW)).toEqual([]);
-    expect(rank.take(prepare(2, 2))).toEqual(['fenced']);
+    expect(rank.receive(prepare(2, 2))).toEqual(['fenced']);
   });
 
-  // Answers of the whole group stand still for good. The leader dies with a
-  // switch prepared; its successor has weights staged under a higher fence, and
-  // then answers that the switch was aborted. An engine that checks fences would
-  // refuse that under the switch's own fence, and hold at its step for ever.
-  it('should pass a decision on under the newest fence', () => {
+  // The leader fails after it has prepared a switch. Its successor stages
+  // weights with a higher fence and then aborts the switch. An engine that
+  // checks fences would reject the abort with the fence of the switch and hold
+  // at its step forever, and with it the whole group.
+  it('should forward a decision with the newest fence', () => {
     const rank = RankFixture.ready();
-    rank.take(prepare(2, 2));
+    rank.receive(prepare(2, 2));
     rank.prepared(2, 'held');
     const order = {kind: 'stage', group: GROUP, slot: 0, expert: 7} as const;
     rank.message({kind: 'message', message: {...order, fence: 3}});
@@ -178,7 +179,7 @@
     ]);
   });
 
-  it('should stage weights only under a fence that is not old', () => {
+  it('should stage weights only with a fence that is not outdated', () => {
     const rank = RankFixture.ready();
     const order = {kind: 'stage', group: GROUP, slot: 0, expert: 7} as const;
     const stage = (fence: number) =>
--- a/tests/targetAdapter.spec.ts
+++ b/tests/targetAdapter.spec.ts
@@ -9,7 +9,7 @@
   CHAT_PATH,
   chatBody,
   closeTargets,
-  never,
+  neverAborted,
   scripted,
   send,
   started,
@@ -55,7 +55,7 @@
     const adapter = adapterOf('engine', engine.port);
     const long = 'x'.repeat(5000);
     await send(engine.port, CHAT_PATH, chatBody(1, long));
-    const seen = await adapter.observe(never);
+    const seen = await adapter.observe(neverAborted);
     expect(seen).toMatchObject({
       bootId: engine.current.bootId,
       state: 'ready',
@@ -64,46 +64,47 @@
       cold: false,
       load: {running: 0, waiting: 0, tokensInWork: 0},
     });
-    // Five blocks stored; the second and the fourth event are lost.
+    // Of the events of five stored blocks, the second and the fourth are lost.
     expect(seen.cacheEvents.events.map(e => e.seq)).toEqual([1, 3, 5]);
     expect(seen.cacheEvents.missed).toBe(2);
-    const again = await adapter.observe(never);
+    const again = await adapter.observe(neverAborted);
     expect(again.cacheEvents).toEqual({events: [], missed: 0});
   });
 
-  it('should show a new boot after a crash, and count its events afresh', async () => {
+  it('should report a new boot after a crash, and restart its event sequence', async () => {
     const engine = await started(
       new FakeEngine({cacheEventLagMs: 0, restartMs: 0})
     );
     const adapter = adapterOf('engine', engine.port);
     await send(engine.port, CHAT_PATH, chatBody(1));
-    const before = await adapter.observe(never);
+    const before = await adapter.observe(neverAborted);
     engine.control({kind: 'crash'});
     while (engine.current.bootId === before.bootId)
       await new Promise(setImmediate);
     await send(engine.port, CHAT_PATH, chatBody(1));
-    const after = await adapter.observe(never);
+    const after = await adapter.observe(neverAborted);
     expect(after.bootId).not.toBe(before.bootId);
     expect(after.cold).toBe(true);
-    expect((await adapter.observe(never)).cacheEvents.events).toHaveLength(1);
+    expect(
+      (await adapter.observe(neverAborted)).cacheEvents.events
+    ).toHaveLength(1);
   });
 
-  it('should not let an answer that was overtaken set the load back', async () => {
-    // Two looks at the target are under way at once; the older answer comes
-    // last. Taking it would show a load that the target no longer has, and
-    // send new work to a target that is already full.
-    const held: (() => void)[] = [];
+  it('should not replace the load by that of an older response', async () => {
+    // Of two concurrent probes, the older response arrives last. Using it would
+    // report an outdated load and attract requests to a full target.
+    const pendingReplies: (() => void)[] = [];
     const {port} = await scripted((_req, res) => {
-      const nowMs = 100 + held.length * 100;
+      const nowMs = 100 + pendingReplies.length * 100;
       const load = {...engineStatus.load, running: nowMs, reportedAtMs: nowMs};
       const body = JSON.stringify({...engineStatus, nowMs, load});
-      held.push(() => res.end(body));
-      if (held.length === 2) held[1]?.();
+      pendingReplies.push(() => res.end(body));
+      if (pendingReplies.length === 2) pendingReplies[1]?.();
     });
     const adapter = adapterOf('engine', port);
-    const both = [adapter.observe(never), adapter.observe(never)];
+    const both = [adapter.observe(neverAborted), adapter.observe(neverAborted)];
     const newer = await Promise.any(both);
-    held[0]?.();
+    pendingReplies[0]?.();
     const loads = (await Promise.all(both)).map(seen => seen.load?.running);
     expect(newer.load?.running).toBe(200);
     expect(loads).toEqual([200, 200]);
@@ -121,14 +122,14 @@
       res.end(text);
     });
     const adapter = adapterOf('engine', port);
-    await expect(adapter.observe(never)).rejects.toMatchObject({
+    await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       step: 'target',
       peer: adapter.peer,
       fault,
     });
   });
 
-  it('should tell an unreachable target from one that fell silent', async () => {
+  it('should distinguish an unreachable target from one that does not respond', async () => {
     const {server, port} = await scripted(() => undefined);
     const adapter = adapterOf('engine', port);
     const abort = new AbortController();
@@ -136,15 +137,15 @@
     server.once('request', () => abort.abort());
     await expect(silent).rejects.toMatchObject({fault: {kind: 'timeout'}});
     await closeTargets();
-    await expect(adapter.observe(never)).rejects.toMatchObject({
+    await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'unreachable', refusedByHost: true},
     });
   });
 
-  it('should look again when an idle connection closed at the moment of reuse', async () => {
-    // The target closes the idle connection just as the next look is written.
-    // Taken for a lost target it would start a cold ramp; a GET is safe to
-    // send once more, on a connection of its own.
+  it('should retry a probe when an idle connection closes at the moment of reuse', async () => {
+    // The target closes the idle connection just as the next probe is written.
+    // Without a retry, it would count as unreachable and its ramp would
+    // restart.
     let requests = 0;
     const {port} = await scripted((_req, res) => {
       requests++;
@@ -152,9 +153,9 @@
       else res.end(JSON.stringify(engineStatus));
     });
     const adapter = adapterOf('engine', port);
-    await adapter.observe(never);
+    await adapter.observe(neverAborted);
     await new Promise(setImmediate);
-    expect((await adapter.observe(never)).bootId).toBe('b1');
+    expect((await adapter.observe(neverAborted)).bootId).toBe('b1');
     expect(requests).toBe(3);
   });
 
@@ -175,24 +176,26 @@
     {kind: 'loadExpert', fence: 5, expert: 3, slot: 0},
   ];
   it.each(orders.map(order => [order.kind, order] as const))(
-    'should order %s, and be fenced by a newer number where engines check',
+    'should order %s, and be fenced by a newer token where engines check',
     async (_kind, order) => {
       const strict = await started(new FakeEngine());
-      const lax = await started(new FakeEngine({refuseOldFences: false}));
+      const lenient = await started(new FakeEngine({refuseOldFences: false}));
       const newer: TargetOrder = {kind: 'setRole', fence: 6, role: 'mixed'};
       for (const [engine, expected] of [
         [strict, {kind: 'fenced', highestFence: 6}],
-        [lax, {kind: 'done'}],
+        [lenient, {kind: 'done'}],
       ] as const) {
         const adapter = adapterOf('engine', engine.port);
-        expect(await adapter.order(order, never)).toEqual({kind: 'done'});
-        await adapter.order(newer, never);
-        expect(await adapter.order(order, never)).toEqual(expected);
+        expect(await adapter.order(order, neverAborted)).toEqual({
+          kind: 'done',
+        });
+        await adapter.order(newer, neverAborted);
+        expect(await adapter.order(order, neverAborted)).toEqual(expected);
       }
     }
   );
 
-  it('should report a load that the weight store limits as failed', async () => {
+  it('should report a load as failed when the weight store rejects it', async () => {
     const store = await started(
       new FakeWeightStore({burst: 1, requestsPerSecond: 0})
     );
@@ -200,7 +203,10 @@
     const engine = await started(new FakeEngine({weightStore}));
     const adapter = adapterOf('engine', engine.port);
     const order = (expert: number) =>
-      adapter.order({kind: 'loadExpert', fence: 1, expert, slot: 0}, never);
+      adapter.order(
+        {kind: 'loadExpert', fence: 1, expert, slot: 0},
+        neverAborted
+      );
     expect(await order(1)).toEqual({kind: 'done'});
     expect(await order(2)).toEqual({
       kind: 'failed',
@@ -208,9 +214,9 @@
     });
   });
 
-  it('should cancel one attempt and leave the one that took over', async () => {
-    // A stream is lost and resumed on the same engine. The cancel of the lost
-    // attempt comes late; it must not stop the attempt that goes on.
+  it('should cancel one attempt but not the one that resumed its stream', async () => {
+    // A stream is lost and resumed on the same engine. The late cancel of the
+    // lost attempt must not stop the new one.
     const engine = await started(new FakeEngine());
     const adapter = adapterOf('engine', engine.port);
     const second = {...dispatch, attempt: 2};
@@ -219,9 +225,11 @@
         ...adapter.requestHeaders(one),
       });
     const replies = [run(dispatch, 100000), run(second, 200)];
-    while (engine.current.batch.size < 2) await adapter.observe(never);
-    expect(await adapter.cancel(dispatch, never)).toEqual({kind: 'cancelled'});
-    expect(await adapter.cancel(dispatch, never)).toEqual({
+    while (engine.current.batch.size < 2) await adapter.observe(neverAborted);
+    expect(await adapter.cancel(dispatch, neverAborted)).toEqual({
+      kind: 'cancelled',
+    });
+    expect(await adapter.cancel(dispatch, neverAborted)).toEqual({
       kind: 'not running',
     });
     expect((await Promise.all(replies)).map(r => r.whole)).toEqual([
@@ -253,19 +261,21 @@
 });
 
 describe('service adapter', () => {
-  it('should see a service by its health path, or by a connect', async () => {
+  it('should observe a service by its health path, or by a TCP connect', async () => {
     const ledger = await started(new FakeLedger());
     const probed = await adapterOf('service', ledger.port, '/health').observe(
-      never
+      neverAborted
     );
     expect(probed).toMatchObject({state: 'ready', load: {running: 0}});
     expect(probed.bootId).toBeDefined();
-    const connected = await adapterOf('service', ledger.port).observe(never);
+    const connected = await adapterOf('service', ledger.port).observe(
+      neverAborted
+    );
     expect(connected.state).toBe('ready');
     expect(ledger.runs).toEqual([]);
   });
 
-  it('should take no orders, and reject when unhealthy or gone', async () => {
+  it('should support no orders, and reject when unhealthy or unreachable', async () => {
     const {port} = await scripted((_req, res) => {
       res.statusCode = 503;
       res.end('{}');
@@ -273,30 +283,32 @@
     const adapter = adapterOf('service', port, '/health');
     const bare = adapterOf('service', port);
     const order: TargetOrder = {kind: 'setRole', fence: 1, role: 'mixed'};
-    expect(await adapter.order(order, never)).toEqual({kind: 'unsupported'});
-    expect(await adapter.cancel(dispatch, never)).toEqual({
+    expect(await adapter.order(order, neverAborted)).toEqual({
+      kind: 'unsupported',
+    });
+    expect(await adapter.cancel(dispatch, neverAborted)).toEqual({
       kind: 'unsupported',
     });
-    await expect(adapter.observe(never)).rejects.toMatchObject({
+    await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'rejected', code: 503},
     });
     await closeTargets();
-    await expect(bare.observe(never)).rejects.toMatchObject({
+    await expect(bare.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'unreachable', refusedByHost: true},
     });
   });
 });
 
 describe('fake engine', () => {
-  it('should fall over when it bears less than it gets, claiming to be warm', async () => {
-    // The engine turns cold with no restart and still claims to be warm. Two
-    // requests are borne; the third makes it lose all three and start again.
-    const slow = {restartMs: 0, coldCapacity: 2, warmupMs: 1e9};
-    const engine = await started(new FakeEngine(slow));
+  it('should crash when overloaded, while it reports to be warm', async () => {
+    // The engine gets cold without a restart and still reports to be warm. It
+    // can run two requests; the third makes it lose all three and restart.
+    const coldEngine = {restartMs: 0, coldCapacity: 2, warmupMs: 1e9};
+    const engine = await started(new FakeEngine(coldEngine));
     const boot = engine.current.bootId;
     engine.control({kind: 'turnCold', claimLagMs: 60_000});
     const adapter = adapterOf('engine', engine.port);
-    expect((await adapter.observe(never)).cold).toBe(false);
+    expect((await adapter.observe(neverAborted)).cold).toBe(false);
     const replies = [1, 2, 3].map(() =>
       send(engine.port, CHAT_PATH, chatBody(100000)).then(
         reply => reply.whole,
@@ -309,14 +321,14 @@
     expect(engine.current.cold.claimsCold(Date.now())).toBe(true);
   });
 
-  it('should hold all ranks at the switch step until the last one knows', async () => {
+  it('should hold all ranks at the switch step until the last one has the decision', async () => {
     const clock = new StepClock(0);
     const ranks = await Promise.all(
       [0, 1, 2].map(rank => started(new FakeEngine({group: 'g1', rank}, clock)))
     );
     const adapters = ranks.map(engine => adapterOf('engine', engine.port));
     const stepOf = async () =>
-      (await adapters[0]!.observe(never)).group?.step ?? 0;
+      (await adapters[0]!.observe(neverAborted)).group?.step ?? 0;
     const switchStep = (await stepOf()) + 500;
     const prepare = {
       kind: 'prepareMap',
@@ -326,16 +338,21 @@
     } as const;
     const decide = {kind: 'decideMap', fence: 1, version: 1} as const;
     for (const adapter of adapters)
-      await adapter.order({...prepare, switchStep, slots: [[1]]}, never);
+      await adapter.order({...prepare, switchStep, slots: [[1]]}, neverAborted);
     for (const adapter of adapters.slice(1))
-      await adapter.order({...decide, decision: 'commit'}, never);
+      await adapter.order({...decide, decision: 'commit'}, neverAborted);
     while ((await stepOf()) < switchStep - 1);
-    const held = await Promise.all(adapters.map(a => a.observe(never)));
-    expect(held.map(seen => seen.group?.step)).toEqual(
+    const observations = await Promise.all(
+      adapters.map(a => a.observe(neverAborted))
+    );
+    expect(observations.map(seen => seen.group?.step)).toEqual(
       [1, 2, 3].map(() => switchStep - 1)
     );
-    expect(held[0]?.group).toMatchObject({holding: true, preparedVersion: 1});
-    await adapters[0]!.order({...decide, decision: 'commit'}, never);
+    expect(observations[0]?.group).toMatchObject({
+      holding: true,
+      preparedVersion: 1,
+    });
+    await adapters[0]!.order({...decide, decision: 'commit'}, neverAborted);
     while ((await stepOf()) < switchStep);
     expect(ranks.map(engine => engine.current.rank.history.at(-1))).toEqual(
       [1, 2, 3].map(() => ({fromStep: switchStep, mapVersion: 1}))
--- a/tests/tokenPace.spec.ts
+++ b/tests/tokenPace.spec.ts
@@ -1,54 +1,59 @@
-import {TokenPace} from '../src/agent/tokenPace';
+import {TokenLatencyMonitor} from '../src/agent/tokenPace';
 
 const RULE = {start: 2, full: 16, overMs: 10_000};
-const STEP_MS = 20;
+const PASS_MS = 20;
 
-describe('pace of tokens', () => {
-  let pace: TokenPace;
+describe('token latency monitor', () => {
+  let monitor: TokenLatencyMonitor;
   let nowMs: number;
 
   beforeEach(() => {
-    pace = new TokenPace();
+    monitor = new TokenLatencyMonitor();
     nowMs = 1_000;
   });
 
-  /** Steps in which each of some streams gets a token; the ramp's samples. */
-  function steps(count: number, stepMs: number, streams = 1) {
+  /**
+   * Runs passes in which each stream gets a token; returns the ramp samples.
+   */
+  function runPasses(count: number, passMs: number, streams = 1) {
     const samples = [];
     for (let step = 0; step < count; step++) {
-      nowMs += stepMs;
+      nowMs += passMs;
       for (let stream = 0; stream < streams; stream++) {
-        // Tokens of one step come a little apart.
+        // Tokens of one pass arrive 0.1 ms apart.
         const gap = {
           nowMs: nowMs + stream * 0.1,
-          startedAtMs: nowMs - stepMs,
+          startedAtMs: nowMs - passMs,
           outstanding: streams,
         };
-        samples.push(pace.take(gap, RULE, false));
+        samples.push(monitor.recordGap(gap, RULE, false));
       }
     }
     return samples.filter(sample => sample !== undefined);
   }
 
-  // A cold engine falls over: it warms slower than its rule says, and whole
-  // answers tell only when they end. Its steps have slowed long before.
-  it('should show strain within a few steps', () => {
-    steps(300, STEP_MS);
-    const strained = steps(40, STEP_MS * 3);
-    expect(strained.at(-1)?.slowdown).toBeGreaterThan(1.5);
+  // A cold engine that warms up slower than its rule gets overloaded. The
+  // latency of whole responses shows it only at their end, long after its
+  // passes slow down.
+  it('should show an overload within a few passes', () => {
+    runPasses(300, PASS_MS);
+    const overloaded = runPasses(40, PASS_MS * 3);
+    expect(overloaded.at(-1)?.slowdown).toBeGreaterThan(1.5);
   });
 
-  it('should take one sample a step, however many streams there are', () => {
-    expect(steps(20, STEP_MS, 8)).toHaveLength(steps(20, STEP_MS, 1).length);
+  it('should use one gap per pass, however many streams there are', () => {
+    expect(runPasses(20, PASS_MS, 8)).toHaveLength(
+      runPasses(20, PASS_MS, 1).length
+    );
   });
 
-  // Each new prompt slows one step for all; taken for strain, a busy and
-  // healthy target would be shut.
-  it('should not take the prompts of others for strain', () => {
-    steps(300, STEP_MS);
-    pace.prefillBegan();
-    const during = steps(40, STEP_MS * 3);
-    pace.prefillEnded(nowMs);
-    expect(during.at(-1)?.slowdown).toBeLessThan(1.1);
+  // Each new prompt makes one pass longer for all streams. If that counted as
+  // an overload, the limit of a busy and healthy target would fall.
+  it('should not count the prefills of other requests as an overload', () => {
+    runPasses(300, PASS_MS);
+    monitor.prefillStarted();
+    const duringPrefill = runPasses(40, PASS_MS * 3);
+    monitor.prefillEnded(nowMs);
+    expect(duringPrefill.at(-1)?.slowdown).toBeLessThan(1.1);
   });
 });
