--- a/src/core/announcements.ts
+++ b/src/core/announcements.ts
@@ -28,13 +28,13 @@
   to: Announcement
 ): AnnouncementUpdate {
   const keys = Object.keys({...from, ...to}) as (keyof Announcement)[];
-  const differ = keys.filter(
+  const changedKeys = keys.filter(
     key => JSON.stringify(from[key]) !== JSON.stringify(to[key])
   );
   const set = Object.fromEntries(
-    differ.filter(key => to[key] !== undefined).map(key => [key, to[key]])
+    changedKeys.filter(key => to[key] !== undefined).map(key => [key, to[key]])
   );
-  const unset = differ.filter(key => to[key] === undefined);
+  const unset = changedKeys.filter(key => to[key] === undefined);
   const {targetId} = to;
   return unset.length === 0 ? {targetId, set} : {targetId, set, unset};
 }
@@ -44,6 +44,6 @@
   from: Announcement,
   {set, unset = []}: AnnouncementUpdate
 ): Announcement {
-  const gone = Object.fromEntries(unset.map(key => [key, undefined]));
-  return {...from, ...set, ...gone};
+  const cleared = Object.fromEntries(unset.map(key => [key, undefined]));
+  return {...from, ...set, ...cleared};
 }
--- a/src/core/boundedOutput.ts
+++ b/src/core/boundedOutput.ts
@@ -7,16 +7,16 @@
 import {write} from 'node:fs';
 
 /** What may wait for a slow reader: some seconds of a busy process's lines. */
-const MOST_WAITING_BYTES = 1 << 20;
+const MAX_PENDING_BYTES = 1 << 20;
 /** What goes out in one write; a pipe holds 64 KiB. */
-const BATCH_BYTES = 48 << 10;
+const MAX_WRITE_BYTES = 48 << 10;
 /** A reader that is merely slow takes some bytes within this time. */
-const RETRY_MS = 20;
+const RETRY_DELAY_MS = 20;
 
 /** Lines on their way; what does not fit is dropped and counted. */
 export class BoundedOutput {
   private readonly lines: Buffer[] = [];
-  private waitingBytes = 0;
+  private pendingBytes = 0;
   private isWriting = false;
   private droppedLines = 0;
 
@@ -30,12 +30,12 @@
   /** Takes one line, its end included. */
   write(line: string): void {
     const bytes = Buffer.from(line);
-    if (this.waitingBytes + bytes.length > MOST_WAITING_BYTES) {
+    if (this.pendingBytes + bytes.length > MAX_PENDING_BYTES) {
       this.droppedLines++;
       return;
     }
     this.lines.push(bytes);
-    this.waitingBytes += bytes.length;
+    this.pendingBytes += bytes.length;
     if (!this.isWriting) this.writeNext();
   }
 
@@ -49,7 +49,7 @@
   private takeBatch(): Buffer {
     const taken: Buffer[] = [];
     let bytes = 0;
-    while (this.lines.length > 0 && bytes < BATCH_BYTES) {
+    while (this.lines.length > 0 && bytes < MAX_WRITE_BYTES) {
       const line = this.lines.shift() as Buffer;
       taken.push(line);
       bytes += line.length;
@@ -59,16 +59,16 @@
 
   private writeAll(batch: Buffer): void {
     write(this.descriptor, batch, 0, batch.length, null, (err, written) => {
-      const isBusy = err?.code === 'EAGAIN';
+      const isPipeFull = err?.code === 'EAGAIN';
       const taken = written ?? 0;
       const rest = batch.subarray(taken);
-      this.waitingBytes -= taken;
-      if (isBusy || (err === null && rest.length > 0)) {
-        setTimeout(() => this.writeAll(rest), RETRY_MS).unref();
+      this.pendingBytes -= taken;
+      if (isPipeFull || (err === null && rest.length > 0)) {
+        setTimeout(() => this.writeAll(rest), RETRY_DELAY_MS).unref();
         return;
       }
       // Nobody reads any more: the lines are lost, the process goes on.
-      this.waitingBytes -= rest.length;
+      this.pendingBytes -= rest.length;
       this.isWriting = false;
       this.writeNext();
     });
--- a/src/core/cancellation.ts
+++ b/src/core/cancellation.ts
@@ -45,9 +45,9 @@
   first: CancelSignal,
   second: CancelSignal
 ): CancelSignal {
-  const both = new Cancellation();
-  if (first.aborted || second.aborted) both.cancel();
+  const combined = new Cancellation();
+  if (first.aborted || second.aborted) combined.cancel();
   for (const signal of [first, second])
-    signal.addEventListener('abort', () => both.cancel(), {once: true});
-  return both;
+    signal.addEventListener('abort', () => combined.cancel(), {once: true});
+  return combined;
 }
--- a/src/core/headerJson.ts
+++ b/src/core/headerJson.ts
@@ -1,8 +1,8 @@
 /** JSON inside an HTTP header. */
 
-const OUTSIDE_ASCII = /[\u007f-\uffff]/g;
+const NON_PRINTABLE_ASCII = /[\u007f-\uffff]/g;
 /** Asked first: to replace nothing takes as long as the JSON itself. */
-const IS_OUTSIDE_ASCII = /[\u007f-\uffff]/;
+const HAS_NON_PRINTABLE_ASCII = /[\u007f-\uffff]/;
 
 /**
  * JSON in printable ASCII. A header with any other character is refused by
@@ -10,8 +10,8 @@
  */
 export function headerJson(value: unknown): string {
   const text = JSON.stringify(value);
-  if (!IS_OUTSIDE_ASCII.test(text)) return text;
-  return text.replace(OUTSIDE_ASCII, char => {
+  if (!HAS_NON_PRINTABLE_ASCII.test(text)) return text;
+  return text.replace(NON_PRINTABLE_ASCII, char => {
     const code = char.charCodeAt(0).toString(16).padStart(4, '0');
     return `\\u${code}`;
   });
--- a/src/core/metrics.ts
+++ b/src/core/metrics.ts
@@ -44,9 +44,9 @@
 }
 
 /** As often as a process sends what its counters have grown by. */
-const SEND_PERIOD_MS = 250;
+const SEND_INTERVAL_MS = 250;
 /** One datagram on Ethernet, with room for the headers. */
-const DATAGRAM_BYTES = 1_400;
+const MAX_DATAGRAM_BYTES = 1_400;
 
 /** Where a process counts what it does. */
 export class Metrics {
@@ -65,9 +65,9 @@
       prefix: 'marlpulley.',
       globalTags: {process: processId},
       errorHandler: () => undefined,
-      maxBufferSize: DATAGRAM_BYTES,
+      maxBufferSize: MAX_DATAGRAM_BYTES,
     });
-    this.timer = setInterval(() => this.send(), SEND_PERIOD_MS).unref();
+    this.timer = setInterval(() => this.send(), SEND_INTERVAL_MS).unref();
   }
 
   count(name: MetricName, tags: MetricTags = {}, by = 1): void {
@@ -94,9 +94,9 @@
   /** One line a counter: a line and a datagram a count cost a call too much. */
   private send(): void {
     for (const counter of this.counters.values()) {
-      const grown = counter.total - counter.sent;
-      if (grown === 0) continue;
-      this.client?.increment(counter.name, grown, {...counter.tags});
+      const increase = counter.total - counter.sent;
+      if (increase === 0) continue;
+      this.client?.increment(counter.name, increase, {...counter.tags});
       counter.sent = counter.total;
     }
   }
--- a/src/core/nearestName.ts
+++ b/src/core/nearestName.ts
@@ -31,12 +31,12 @@
   name: string,
   known: Iterable<string>
 ): string | undefined {
-  const most = Math.min(MAX_EDITS, Math.ceil(name.length / 2));
+  const maxEdits = Math.min(MAX_EDITS, Math.ceil(name.length / 2));
   let best: {readonly name: string; readonly edits: number} | undefined;
   for (const candidate of known) {
-    if (Math.abs(candidate.length - name.length) > most) continue;
+    if (Math.abs(candidate.length - name.length) > maxEdits) continue;
     const edits = editDistance(name.toLowerCase(), candidate.toLowerCase());
-    if (edits > most) continue;
+    if (edits > maxEdits) continue;
     if (best === undefined || edits < best.edits)
       best = {name: candidate, edits};
   }
--- a/src/core/nodeMetrics.ts
+++ b/src/core/nodeMetrics.ts
@@ -37,7 +37,7 @@
 }
 
 /** Milliseconds of one request that was passed on. */
-export interface RequestMarks {
+export interface RequestTimings {
   readonly placeMs: number;
   /** 0 when there was none. */
   readonly firstEventMs: number;
@@ -72,7 +72,7 @@
     'reports to the leader, by outcome',
     ['outcome']
   );
-  private readonly placeWait = this.histogram(
+  private readonly slotWait = this.histogram(
     'marlpulley_place_wait_seconds',
     'time from the arrival of a request to its place'
   );
@@ -80,11 +80,11 @@
     'marlpulley_first_event_seconds',
     'time from the arrival of a request to the first event of its stream'
   );
-  private readonly atTarget = this.histogram(
+  private readonly targetTime = this.histogram(
     'marlpulley_target_seconds',
     'time that a send took at its target'
   );
-  private readonly pause = this.histogram(
+  private readonly longestPause = this.histogram(
     'marlpulley_longest_pause_seconds',
     'longest pause between two events of a stream',
     PAUSE_BUCKETS_S
@@ -96,14 +96,14 @@
 
   attempted(service: string, end: string, tookMs: number): void {
     this.attempts.inc({service, end});
-    this.atTarget.observe({service}, tookMs / MS_PER_S);
+    this.targetTime.observe({service}, tookMs / MS_PER_S);
   }
 
-  answered(service: string, marks: RequestMarks): void {
-    this.placeWait.observe({service}, marks.placeMs / MS_PER_S);
+  answered(service: string, marks: RequestTimings): void {
+    this.slotWait.observe({service}, marks.placeMs / MS_PER_S);
     if (marks.firstEventMs === 0) return;
     this.firstEvent.observe({service}, marks.firstEventMs / MS_PER_S);
-    this.pause.observe({service}, marks.longestGapMs / MS_PER_S);
+    this.longestPause.observe({service}, marks.longestGapMs / MS_PER_S);
   }
 
   ordered(kind: string, answer: string): void {
--- a/src/core/promptPrefix.ts
+++ b/src/core/promptPrefix.ts
@@ -9,7 +9,7 @@
 export const BLOCK_CHARS = 1024;
 /** Leading blocks that are told apart; longer prompts share the rest. */
 export const MAX_BLOCKS = 32;
-const DIGEST_CHARS = 16;
+const DIGEST_HEX_DIGITS = 16;
 const CHARS_PER_TOKEN = 4;
 
 /** One message of a prompt, its content as plain text. */
@@ -33,7 +33,7 @@
     previous = createHash('sha256')
       .update(`${previous}\0${block}`)
       .digest('hex')
-      .slice(0, DIGEST_CHARS);
+      .slice(0, DIGEST_HEX_DIGITS);
     digests.push(previous);
     if (digests.length === MAX_BLOCKS) break;
   }
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -74,12 +74,12 @@
 
 /** As the option `signal` of Node does, for a fraction of its time a call. */
 function destroyOnAbort(req: http.ClientRequest, signal: CancelSignal): void {
-  const stop = () => {
+  const destroy = () => {
     req.destroy(new Error('the call was cancelled'));
   };
-  if (signal.aborted) return stop();
-  signal.addEventListener('abort', stop, {once: true});
-  req.once('close', () => signal.removeEventListener('abort', stop));
+  if (signal.aborted) return destroy();
+  signal.addEventListener('abort', destroy, {once: true});
+  req.once('close', () => signal.removeEventListener('abort', destroy));
 }
 
 function sendBody(
--- a/src/sync/announced.ts
+++ b/src/sync/announced.ts
@@ -1,55 +1,61 @@
-/** What each control instance holds of this process's announcement. */
+/** Tracks which announcement each control instance has accepted. */
 
 import type {Announcement, PollAnswer, PollRequest} from '../core/wire';
 
-/** What one poll tells, and what its answer will show the instance to hold. */
-export interface AnnouncedPoll {
+/** The announcement sent with one poll, whole or by number. */
+export interface SentAnnouncement {
+  /** Fields for the poll request. */
   readonly part: Pick<PollRequest, 'announcement' | 'unchanged'>;
+  /** What the instance holds once it has accepted the poll. */
   readonly content: string;
   readonly seq: number;
 }
 
-/** One control instance. */
+/** State for one control instance. */
 export class AnnouncedTo {
-  /** Content of which an answer has shown that the instance took it in. */
-  private held: string | undefined;
-  private heldByBoot: string | undefined;
-  private answeredSeq = 0;
+  /** Last content that a reply confirmed; undefined when not known. */
+  private confirmedContent: string | undefined;
+  private instanceBootId: string | undefined;
+  private highestRepliedSeq = 0;
 
-  /** What to send with the next poll. */
-  next(announcement: Announcement): AnnouncedPoll {
+  /** Returns the full announcement, or only its number when the rest is known. */
+  next(announcement: Announcement): SentAnnouncement {
     const {targetId, agentBootId, seq} = announcement;
-    const content = contentOf(announcement);
+    const content = comparableContent(announcement);
     const part =
-      content === this.held
+      content === this.confirmedContent
         ? {unchanged: {targetId, agentBootId, seq}}
         : {announcement};
     return {part, content, seq};
   }
 
   /**
-   * Two polls can be on the way at once, as when a target leaves. An answer to
-   * the earlier one that comes last shows nothing: the instance holds what the
-   * later one said.
+   * Handles the reply to a poll. Two polls can be in flight at once, as when a
+   * target leaves. A reply to the earlier poll that arrives last confirms
+   * nothing, since the instance may hold the content of either.
    */
-  answered(poll: AnnouncedPoll, {bootId, announceAgain}: PollAnswer): void {
-    const restarted = bootId !== this.heldByBoot && this.held !== undefined;
-    this.heldByBoot = bootId;
-    const isLate = poll.seq < this.answeredSeq;
-    this.answeredSeq = Math.max(this.answeredSeq, poll.seq);
-    // One that says nothing about it does not know the short form.
-    const takenIn = announceAgain === false;
-    if (!takenIn || restarted || isLate) return this.lost();
-    this.held = poll.content;
+  answered(poll: SentAnnouncement, {bootId, announceAgain}: PollAnswer): void {
+    const hasRestarted =
+      bootId !== this.instanceBootId && this.confirmedContent !== undefined;
+    this.instanceBootId = bootId;
+    const isLate = poll.seq < this.highestRepliedSeq;
+    this.highestRepliedSeq = Math.max(this.highestRepliedSeq, poll.seq);
+    // An instance that omits the field does not support `unchanged`.
+    const isAccepted = announceAgain === false;
+    if (!isAccepted || hasRestarted || isLate) return this.lost();
+    this.confirmedContent = poll.content;
   }
 
-  /** The answer was lost: what arrived is not known. */
+  /** Forces a full announcement next time, as after a poll without a reply. */
   lost(): void {
-    this.held = undefined;
+    this.confirmedContent = undefined;
   }
 }
 
-/** All that matters to others; the age of a report grows by itself. */
-function contentOf(announcement: Announcement): string {
+/**
+ * Content compared between polls. It leaves out the sequence number and the
+ * age of the load report, which change even when nothing else does.
+ */
+function comparableContent(announcement: Announcement): string {
   return JSON.stringify({...announcement, seq: 0, loadAgeMs: 0});
 }
--- a/src/sync/controlSync.ts
+++ b/src/sync/controlSync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps one process in step with control: polls every control instance,
- * announces the target, holds the newest rules and the proof that they are
- * current, and finds the leader for calls that need it.
+ * Keeps one entry or agent in sync with control: polls every control instance,
+ * announces the target, applies the newest rules and maintains the proof that
+ * they are current, and finds the leader for calls that need it.
  */
 
 import {
@@ -30,48 +30,49 @@
 import {AnnouncedTo} from './announced';
 import {Freshness, FreshnessProof} from './freshness';
 import {LeaderCalls} from './leaderCalls';
-import {Located, locateTarget} from './locateTarget';
+import {LocateResult, locateTarget} from './locateTarget';
 import {TargetDirectory} from './targetDirectory';
 import {UsageReport, UsageTo} from './usageReports';
 
-/** What the process tells of itself; evaluated at each poll. */
+/** What the process reports of itself; evaluated at each poll. */
 export interface SelfReport {
   readonly announcement?: Announcement;
   readonly usage?: readonly CustomerUsage[];
 }
 
-/** Settings of the loop. */
+/** Settings of the poll loops. */
 export interface ControlSyncOptions {
   readonly processId: string;
   readonly role: 'entry' | 'agent';
   readonly bootId: string;
   readonly availabilityZone: string;
-  /** Targets of each pool to follow; for entries. */
+  /** For entries: how many targets of each pool to follow. */
   readonly subset?: number;
   readonly instances: readonly PeerClient[];
   readonly pollMs: number;
+  /** Age at which a proof that the rules are current expires; also the RPC timeout. */
   readonly proofMs: number;
   readonly report: () => SelfReport;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Rules as held here. */
-export interface HeldRules {
+/** The rules that this process applies. */
+export interface ActiveRules {
   readonly revision: number;
   readonly index: RuleIndex;
 }
 
-/** The link of one process to control. */
+/** Connects one process to all control instances. */
 export class ControlSync {
   readonly directory = new TargetDirectory();
   readonly leader: LeaderCalls;
   /** Undefined until the first rules are known. */
-  readonly rules$ = new BehaviorSubject<HeldRules | undefined>(undefined);
+  readonly rules$ = new BehaviorSubject<ActiveRules | undefined>(undefined);
   private readonly proof: FreshnessProof;
-  private readonly announced: ReadonlyMap<string, AnnouncedTo>;
+  private readonly announcementTrackers: ReadonlyMap<string, AnnouncedTo>;
   private subscription: Subscription | undefined;
-  private readonly used: ReadonlyMap<string, UsageTo>;
+  private readonly usageTrackers: ReadonlyMap<string, UsageTo>;
   private leaving = false;
   private wasProven = false;
   private takesDiff = true;
@@ -79,17 +80,17 @@
   constructor(private readonly options: ControlSyncOptions) {
     this.proof = new FreshnessProof(options.instances.length, options.proofMs);
     this.leader = new LeaderCalls(options.instances);
-    this.announced = new Map(
+    this.announcementTrackers = new Map(
       options.instances.map(({address}) => [address.id, new AnnouncedTo()])
     );
-    this.used = new Map(
+    this.usageTrackers = new Map(
       options.instances.map(({address}) => [address.id, new UsageTo()])
     );
   }
 
   start(): void {
     const {instances, pollMs} = this.options;
-    // Each instance has its own loop: one that is silent delays no other.
+    // One loop per instance, so that a silent instance does not delay the others.
     const loops = instances.map((instance, i) =>
       timer((pollMs * i) / instances.length, pollMs).pipe(
         exhaustMap(() => defer(() => this.poll(instance)))
@@ -102,7 +103,7 @@
     this.subscription?.unsubscribe();
   }
 
-  get rules(): HeldRules | undefined {
+  get rules(): ActiveRules | undefined {
     return this.rules$.value;
   }
 
@@ -112,34 +113,41 @@
       this.options.metrics.count('rules.unproven');
       this.options.logger.warn(
         {ageMs: freshness.ageMs},
-        'the rules can no longer be proven current'
+        `the rules are no longer proven current: no majority of control instances confirmed them within ${this.options.proofMs} ms`
       );
     }
     this.wasProven = freshness.kind !== 'unproven';
     return freshness;
   }
 
-  /** Another process showed that a revision exists. */
+  /** Records that a revision exists, as reported by another process. */
   sawRevision(revision: number): void {
     this.proof.sawRevision(revision);
   }
 
-  /** Where a target is, also one that is not followed here. */
-  async locate(targetId: string): Promise<Located> {
-    const known = this.directory.list().find(one => one.targetId === targetId);
+  /** Finds a target, including one that is not in this entry's subset. */
+  async locate(targetId: string): Promise<LocateResult> {
+    const known = this.directory
+      .list()
+      .find(announcement => announcement.targetId === targetId);
     if (known !== undefined) return {kind: 'found', announcement: known};
     const {instances, proofMs} = this.options;
     return locateTarget(
       instances.map(
-        one => () => one.call<LocateAnswer>(METHODS.locate, {targetId}, proofMs)
+        instance => () =>
+          instance.call<LocateAnswer>(METHODS.locate, {targetId}, proofMs)
       )
     );
   }
 
-  /** Tells every control instance all at once, as when a process leaves. */
+  /**
+   * Reports the final state to every control instance when the process leaves.
+   * Usage goes to all of them from now on, not only to the leader.
+   */
   async announceNow(): Promise<void> {
     this.leaving = true;
-    for (const used of this.used.values()) used.soon();
+    for (const tracker of this.usageTrackers.values())
+      tracker.reportAtNextPoll();
     await Promise.all(
       this.options.instances.map(instance => this.poll(instance))
     );
@@ -149,48 +157,51 @@
     const askedAtMs = performance.now();
     const instanceId = instance.address.id;
     const {announcement, usage} = this.options.report();
-    const announced = this.announced.get(instanceId);
-    const told = announcement && announced?.next(announcement);
-    const report = usage && this.dueUsage(instanceId, usage, askedAtMs);
+    const tracker = this.announcementTrackers.get(instanceId);
+    const sentAnnouncement = announcement && tracker?.next(announcement);
+    const usageReport =
+      usage && this.nextUsageReport(instanceId, usage, askedAtMs);
     try {
-      const answer = await instance.call<PollAnswer>(
+      const reply = await instance.call<PollAnswer>(
         METHODS.poll,
         {
-          ...this.question(instanceId),
-          ...report?.part,
-          ...told?.part,
+          ...this.buildPollRequest(instanceId),
+          ...usageReport?.part,
+          ...sentAnnouncement?.part,
         },
         this.options.proofMs
       );
-      if (told !== undefined) announced?.answered(told, answer);
-      if (report !== undefined)
-        this.used.get(instanceId)?.answered(report, answer);
-      this.apply(answer, askedAtMs);
+      if (sentAnnouncement !== undefined)
+        tracker?.answered(sentAnnouncement, reply);
+      if (usageReport !== undefined)
+        this.usageTrackers.get(instanceId)?.answered(usageReport, reply);
+      this.applyReply(reply, askedAtMs);
     } catch (err) {
       if (!(err instanceof PeerError)) throw err;
-      announced?.lost();
-      this.failed(instanceId, askedAtMs, err);
+      tracker?.lost();
+      this.handlePollFailure(instanceId, askedAtMs, err);
     }
     this.directory.expire(performance.now());
   }
 
   /**
-   * To the leader, which logs it; another that is elected is told everything
-   * that it does not hold. The last words go to all: with this process and then
-   * the leader gone, nobody could tell them again.
+   * Usage goes to the leader only, which logs it; a newly elected leader gets
+   * every row that it does not hold. The final report goes to all instances:
+   * if this process ends and then the leader fails, nobody else could report
+   * that usage again.
    */
-  private dueUsage(
+  private nextUsageReport(
     instanceId: string,
     usage: readonly CustomerUsage[],
     nowMs: number
   ): UsageReport | undefined {
-    const {known} = this.leader;
-    const isAsked = known === undefined || known === instanceId;
-    if (!isAsked && !this.leaving) return undefined;
-    return this.used.get(instanceId)?.due(usage, nowMs);
+    const {leaderHint} = this.leader;
+    const mayBeLeader = leaderHint === undefined || leaderHint === instanceId;
+    if (!mayBeLeader && !this.leaving) return undefined;
+    return this.usageTrackers.get(instanceId)?.due(usage, nowMs);
   }
 
-  private question(instanceId: string): PollRequest {
+  private buildPollRequest(instanceId: string): PollRequest {
     const {processId, role, bootId, availabilityZone, subset} = this.options;
     const freshness = this.proof.judge(performance.now());
     return {
@@ -208,10 +219,10 @@
     };
   }
 
-  private apply(answer: PollAnswer, askedAtMs: number): void {
-    if (answer.rulesDiff !== undefined) this.applyRulesDiff(answer.rulesDiff);
-    if (answer.rules !== undefined) this.applyRules(answer.rules);
-    const {voter, voterCount, lastRevision, instanceId} = answer;
+  private applyReply(reply: PollAnswer, askedAtMs: number): void {
+    if (reply.rulesDiff !== undefined) this.applyRulesDiff(reply.rulesDiff);
+    if (reply.rules !== undefined) this.applyRules(reply.rules);
+    const {voter, voterCount, lastRevision, instanceId} = reply;
     this.proof.add(instanceId, {
       kind: 'answered',
       askedAtMs,
@@ -219,31 +230,31 @@
       voterCount,
       lastRevision,
     });
-    this.directory.apply(answer, performance.now());
-    if (answer.leaderId !== undefined)
-      this.leader.hint(answer.leaderId, answer.term);
+    this.directory.apply(reply, performance.now());
+    if (reply.leaderId !== undefined)
+      this.leader.noteLeader(reply.leaderId, reply.term);
   }
 
   /**
-   * A difference that leads nowhere, since another text is held here under
-   * that revision, is answered by asking for the whole file.
+   * A diff does not apply when this process holds another text under the base
+   * revision. The next polls then ask for the whole file.
    */
   private applyRulesDiff(diff: RuleDiff): void {
-    const held = this.rules?.index.ruleSet;
-    // Another instance's answer may have brought the same change already.
-    if (held === undefined || diff.toRevision <= held.revision) return;
-    const text = applyDiff(held, diff);
-    if (text !== undefined) return this.applyRules(text);
+    const active = this.rules?.index.ruleSet;
+    // Another instance's reply may have delivered the same change already.
+    if (active === undefined || diff.toRevision <= active.revision) return;
+    const rules = applyDiff(active, diff);
+    if (rules !== undefined) return this.applyRules(rules);
     this.takesDiff = false;
     this.options.logger.warn(
       {from: diff.fromRevision, to: diff.toRevision},
-      'the difference of the rules does not fit those held'
+      `the rule diff from revision ${diff.fromRevision} to ${diff.toRevision} does not apply to the rules held here; requesting the whole file`
     );
   }
 
   /**
-   * Only a higher revision is taken: a late answer of a slow instance would
-   * otherwise bring rules back that operators have replaced.
+   * Applies only a higher revision: a late reply of a slow instance would
+   * otherwise bring back rules that operators have replaced.
    */
   private applyRules(rules: {
     readonly revision: number;
@@ -259,7 +270,7 @@
     if (!parsed.ok) {
       logger.error(
         {revision: rules.revision, problems: parsed.problems},
-        'accepted rules do not parse here'
+        `rules of revision ${rules.revision}, accepted by control, do not parse here; the previous rules stay active`
       );
       return;
     }
@@ -273,8 +284,15 @@
     logger.info({revision: rules.revision}, 'rules in force');
   }
 
-  private failed(instanceId: string, askedAtMs: number, err: PeerError): void {
-    this.options.logger.debug({err: err.message}, 'poll failed');
+  private handlePollFailure(
+    instanceId: string,
+    askedAtMs: number,
+    err: PeerError
+  ): void {
+    this.options.logger.debug(
+      {err: err.message},
+      `poll of control instance ${instanceId} failed`
+    );
     const {fault} = err;
     if (fault.kind === 'unreachable' && fault.refusedByHost) {
       this.proof.add(instanceId, {kind: 'not running', askedAtMs});
--- a/src/sync/leaderCalls.ts
+++ b/src/sync/leaderCalls.ts
@@ -1,40 +1,40 @@
-/** Calls that only the leading control instance can answer. */
+/** Calls to whichever control instance is the leader. */
 
 import {PeerError} from '../core/errors';
 import {PeerClient} from '../rpc/peerClient';
 import {RPC_CODES} from '../rpc/peerServer';
 
-/** Time for one attempt; elections take about a second. */
-const ATTEMPT_MS = 1_500;
-const PAUSE_MS = 100;
+/** Timeout of one attempt; an election takes about a second. */
+const ATTEMPT_TIMEOUT_MS = 1_500;
+const RETRY_DELAY_MS = 100;
 
 /**
- * Finds the leader and repeats a call until its deadline. Only for methods
- * that are idempotent: an answer may be lost after the call took effect.
+ * Finds the leader and retries a call until its deadline. Only for idempotent
+ * methods: a reply may be lost after the call took effect.
  */
 export class LeaderCalls {
   private leaderId: string | undefined;
   private term = 0;
-  private next = 0;
+  private nextIndex = 0;
 
   constructor(private readonly instances: readonly PeerClient[]) {}
 
   /**
-   * Some instance named the leader of a term. An instance that is cut off
-   * names the old leader for ever, so an earlier term is ignored.
+   * Records the leader that an instance named for a term. A partitioned
+   * instance keeps naming the old leader, so earlier terms are ignored.
    */
-  hint(leaderId: string, term: number): void {
+  noteLeader(leaderId: string, term: number): void {
     if (term < this.term) return;
     this.term = term;
     this.leaderId = leaderId;
   }
 
-  /** The instance that was last named as leader, if any. */
-  get known(): string | undefined {
+  /** Id of the instance believed to be the leader, if any. */
+  get leaderHint(): string | undefined {
     return this.leaderId;
   }
 
-  /** Resolves with the leader's answer; rejects with the last PeerError. */
+  /** Resolves with the leader's reply; rejects with the last PeerError. */
   async call<R>(
     method: string,
     params: unknown,
@@ -43,30 +43,38 @@
     const deadlineAt = performance.now() + timeoutMs;
     for (;;) {
       const leftMs = deadlineAt - performance.now();
-      const instance = this.choose();
+      const instance = this.chooseInstance();
       try {
         return await instance.call<R>(
           method,
           params,
-          Math.max(1, Math.min(ATTEMPT_MS, leftMs))
+          Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, leftMs))
         );
       } catch (err) {
-        if (!(err instanceof PeerError) || !this.mayRepeat(err)) throw err;
-        if (deadlineAt - performance.now() <= PAUSE_MS) throw err;
+        if (!(err instanceof PeerError) || !this.handleFailure(err)) throw err;
+        if (deadlineAt - performance.now() <= RETRY_DELAY_MS) throw err;
       }
-      await new Promise(resolve => setTimeout(resolve, PAUSE_MS));
+      await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
     }
   }
 
-  private choose(): PeerClient {
-    const led = this.instances.find(one => one.address.id === this.leaderId);
-    const chosen = led ?? this.instances[this.next++ % this.instances.length];
+  private chooseInstance(): PeerClient {
+    const leader = this.instances.find(
+      instance => instance.address.id === this.leaderId
+    );
+    const chosen =
+      leader ?? this.instances[this.nextIndex++ % this.instances.length];
     if (chosen === undefined)
       throw new Error('no control instances are configured');
     return chosen;
   }
 
-  private mayRepeat(err: PeerError): boolean {
+  /**
+   * Updates the leader hint and returns whether the call may be retried. An
+   * instance that rejects the call as not the leader, yet names itself, gives
+   * no usable hint.
+   */
+  private handleFailure(err: PeerError): boolean {
     this.leaderId = undefined;
     const {fault} = err;
     if (fault.kind !== 'rejected') return fault.kind !== 'version';
--- a/src/sync/locateTarget.ts
+++ b/src/sync/locateTarget.ts
@@ -1,29 +1,30 @@
-/** Finds a target that this entry does not follow. */
+/** Finds a target that is not in this entry's subset. */
 
 import {isNewer} from '../core/announcements';
 import {PeerError} from '../core/errors';
 import type {Announcement} from '../core/wire';
 import type {LocateAnswer} from '../rpc/messages';
 
-/** What the control instances know of a target. */
-export type Located =
+/** What the control instances know of a target, all replies taken together. */
+export type LocateResult =
   | {readonly kind: 'found'; readonly announcement: Announcement}
-  /** A majority answered, and none that did hears of it. */
+  /** A majority replied, and no reply lists the target. */
   | {readonly kind: 'gone'}
-  /** Too few answered to say. */
+  /** No reply lists the target, and too few replied to call it gone. */
   | {readonly kind: 'unknown'};
 
 /**
- * Asks every control instance. What became of a claim is settled for good as
- * unknown once its target is gone, so one instance's silence must not pass for
- * that: an instance that has just started has heard of nothing yet.
+ * Queries every control instance. Once a target is gone, the claims that it
+ * was working on are settled as unknown, which is final. The report of a
+ * single instance is not enough for that: one that has just started has not
+ * yet received any announcement.
  */
 export async function locateTarget(
   instances: readonly (() => Promise<LocateAnswer>)[]
-): Promise<Located> {
+): Promise<LocateResult> {
   const answers = await Promise.all(
-    instances.map(ask =>
-      ask().catch((err: unknown) => {
+    instances.map(locate =>
+      locate().catch((err: unknown) => {
         if (err instanceof PeerError) return undefined;
         throw err;
       })
@@ -34,7 +35,7 @@
     .map(answer => answer.announcement)
     .filter(announcement => announcement !== undefined)
     .reduce<Announcement | undefined>(
-      (best, one) => (best === undefined || isNewer(one, best) ? one : best),
+      (best, next) => (best === undefined || isNewer(next, best) ? next : best),
       undefined
     );
   if (newest !== undefined) return {kind: 'found', announcement: newest};
--- a/src/sync/targetDirectory.ts
+++ b/src/sync/targetDirectory.ts
@@ -1,32 +1,32 @@
 /**
- * The targets that an entry knows of, merged from what each control instance
- * has heard. Views are kept apart by instance, so that a cut-off instance's
- * old view can be dropped without touching the others.
+ * The targets that an entry knows, merged from the poll replies of all control
+ * instances. There is one view per instance, so that the outdated view of a
+ * partitioned instance can be dropped without affecting the others.
  */
 
 import {applyUpdate, isNewer, keepLeaving} from '../core/announcements';
 import type {Announcement, MembersAnswer, PollAnswer} from '../core/wire';
 
-/** An instance that has been silent for longer adds nothing any more. */
+/** The view of an instance that has been silent for longer is dropped. */
 const VIEW_TTL_MS = 5_000;
 
-/** No instance has told anything at this version. */
+/** A version that no instance ever sends; asks for the full list. */
 const NO_VERSION = -1;
 
 interface View {
   readonly bootId: string;
   readonly targets: Map<string, Announcement>;
   version: number;
-  heardAtMs: number;
+  repliedAtMs: number;
 }
 
-/** Ages of what an announcement says, milliseconds. */
+/** Ages of the content of an announcement, milliseconds. */
 export interface AnnouncementAges {
-  /** Since it first came in. */
+  /** Time since it first arrived. */
   readonly arrivedMs: number;
   /**
-   * Since a control instance last answered without telling of a change: until
-   * then nothing had changed that could turn a choice.
+   * Time since a control instance last replied without a newer announcement of
+   * the target: until then no change was large enough to affect a choice.
    */
   readonly confirmedMs: number;
 }
@@ -34,10 +34,10 @@
 /** One merged view; times are `performance.now()` milliseconds. */
 export class TargetDirectory {
   private readonly views = new Map<string, View>();
-  /** When each announcement was first seen, by target. */
-  private readonly seen = new Map<
+  /** When the newest announcement of each target first arrived. */
+  private readonly arrivals = new Map<
     string,
-    {readonly seq: string; readonly atMs: number}
+    {readonly bootAndSeq: string; readonly atMs: number}
   >();
   private merged: readonly Announcement[] | undefined;
 
@@ -45,27 +45,28 @@
     const {members, instanceId, bootId} = answer;
     if (members === undefined) return;
     const known = this.views.get(instanceId);
-    const keep =
+    const isIncremental =
       known !== undefined && known.bootId === bootId && !members.full;
-    const view: View = keep
+    const view: View = isIncremental
       ? known
       : {
           bootId,
           targets: new Map(),
           version: members.version,
-          heardAtMs: nowMs,
+          repliedAtMs: nowMs,
         };
-    const fits = take(view, members);
-    // An update of what is not held here is answered by asking for everything.
+    const fits = applyMembers(view, members);
+    // After an update for a target that is not held here, the next poll asks
+    // for the full list.
     view.version = fits ? members.version : NO_VERSION;
-    view.heardAtMs = nowMs;
+    view.repliedAtMs = nowMs;
     this.views.set(instanceId, view);
     const {changed, updated, removed} = members;
-    if (!keep || changed?.length || updated?.length || removed?.length)
+    if (!isIncremental || changed?.length || updated?.length || removed?.length)
       this.merged = undefined;
   }
 
-  /** What to ask an instance for: only changes after this. */
+  /** What is held from an instance; the next poll asks for later changes only. */
   heldFrom(
     instanceId: string
   ): {readonly bootId: string; readonly version: number} | undefined {
@@ -76,13 +77,13 @@
   }
 
   /**
-   * Drops views that fell silent, but never the last ones: when all of
-   * control is gone, the targets known last are still there, and each agent
-   * refuses what it must.
+   * Drops the views of silent instances, unless all are silent. When all of
+   * control is down, entries keep using the last known targets, and the agents
+   * refuse what must not run.
    */
   expire(nowMs: number): void {
     const silent = [...this.views].filter(
-      ([, view]) => nowMs - view.heardAtMs > VIEW_TTL_MS
+      ([, view]) => nowMs - view.repliedAtMs > VIEW_TTL_MS
     );
     if (silent.length === 0 || silent.length === this.views.size) return;
     for (const [instanceId] of silent) this.views.delete(instanceId);
@@ -95,13 +96,13 @@
     return this.merged;
   }
 
-  /** How old what an announcement says is. */
+  /** Ages of an announcement that `list` returned. */
   agesOf({targetId, seq}: Announcement, nowMs: number): AnnouncementAges {
-    const arrivedAtMs = this.seen.get(targetId)?.atMs ?? nowMs;
+    const arrivedAtMs = this.arrivals.get(targetId)?.atMs ?? nowMs;
     let confirmedAtMs = arrivedAtMs;
-    for (const {targets, heardAtMs} of this.views.values()) {
+    for (const {targets, repliedAtMs} of this.views.values()) {
       if (targets.get(targetId)?.seq === seq)
-        confirmedAtMs = Math.max(confirmedAtMs, heardAtMs);
+        confirmedAtMs = Math.max(confirmedAtMs, repliedAtMs);
     }
     return {
       arrivedMs: nowMs - arrivedAtMs,
@@ -116,29 +117,29 @@
         const known = newest.get(candidate.targetId);
         newest.set(
           candidate.targetId,
-          known === undefined ? candidate : newer(known, candidate)
+          known === undefined ? candidate : newerOf(known, candidate)
         );
       }
     }
-    this.noteArrivals(newest);
+    this.recordArrivals(newest);
     return [...newest.values()];
   }
 
-  private noteArrivals(newest: ReadonlyMap<string, Announcement>): void {
+  private recordArrivals(newest: ReadonlyMap<string, Announcement>): void {
     const nowMs = performance.now();
     for (const [targetId, {agentBootId, seq}] of newest) {
-      const stamp = `${agentBootId}/${seq}`;
-      if (this.seen.get(targetId)?.seq === stamp) continue;
-      this.seen.set(targetId, {seq: stamp, atMs: nowMs});
+      const bootAndSeq = `${agentBootId}/${seq}`;
+      if (this.arrivals.get(targetId)?.bootAndSeq === bootAndSeq) continue;
+      this.arrivals.set(targetId, {bootAndSeq, atMs: nowMs});
     }
-    for (const targetId of this.seen.keys()) {
-      if (!newest.has(targetId)) this.seen.delete(targetId);
+    for (const targetId of this.arrivals.keys()) {
+      if (!newest.has(targetId)) this.arrivals.delete(targetId);
     }
   }
 }
 
-/** Returns false when something in it does not fit what is held. */
-function take(
+/** Returns false when an update is for a target that the view does not hold. */
+function applyMembers(
   {targets}: View,
   {changed = [], updated = [], removed = []}: MembersAnswer
 ): boolean {
@@ -153,7 +154,7 @@
   return true;
 }
 
-function newer(known: Announcement, candidate: Announcement): Announcement {
+function newerOf(known: Announcement, candidate: Announcement): Announcement {
   if (isNewer(candidate, known)) return keepLeaving(known, candidate);
   return keepLeaving(candidate, known);
 }
