--- a/src/core/announcements.ts
+++ b/src/core/announcements.ts
@@ -1,8 +1,11 @@
-/** Which of two announcements of one target holds, and what differs. */
+/** Ordering of the announcements of one target, and updates between them. */
 
 import type {Announcement, AnnouncementUpdate} from './wire';
 
-/** Orders announcements of one target: by boot, then by sequence. */
+/**
+ * Whether `candidate` replaces `known`: by sequence number within one boot of
+ * the agent, by start time between boots.
+ */
 export function isNewer(candidate: Announcement, known: Announcement): boolean {
   if (candidate.agentBootId === known.agentBootId)
     return candidate.seq > known.seq;
@@ -10,8 +13,9 @@
 }
 
 /**
- * A boot that began to leave stays leaving: an announcement made before the
- * goodbye but numbered after it by a confused agent must not bring it back.
+ * Keeps a boot that is leaving in that state. An announcement that was built
+ * before the agent began to leave, but numbered later by a faulty agent, must
+ * not bring the target back.
  */
 export function keepLeaving(
   known: Announcement,
@@ -22,7 +26,7 @@
   return {...next, state: 'leaving'};
 }
 
-/** The way from one announcement of a target to the next. */
+/** Returns the fields that changed between two announcements of a target. */
 export function updateOf(
   from: Announcement,
   to: Announcement
@@ -39,7 +43,7 @@
   return unset.length === 0 ? {targetId, set} : {targetId, set, unset};
 }
 
-/** The announcement that an update leads to. */
+/** Returns the announcement with an update applied. */
 export function applyUpdate(
   from: Announcement,
   {set, unset = []}: AnnouncementUpdate
--- a/src/core/bootId.ts
+++ b/src/core/bootId.ts
@@ -1,11 +1,11 @@
-/** Names one start of a process. */
+/** Identifies one boot of a process. */
 
 import {randomBytes} from 'node:crypto';
 
-/** 72 bits: enough to tell all starts apart, and a third of a UUID's length. */
+/** 72 bits: collisions are negligible, and a third of a UUID's length. */
 const BYTES = 9;
 
-/** Random; three of them travel with each poll, so they are short. */
+/** Returns a random id, short because each poll carries three of them. */
 export function newBootId(): string {
   return randomBytes(BYTES).toString('base64url');
 }
--- a/src/core/boundedOutput.ts
+++ b/src/core/boundedOutput.ts
@@ -1,19 +1,21 @@
 /**
- * Writes lines to a file descriptor without ever waiting for its reader. Writes
- * to a pipe block the whole process on Linux once the pipe is full; a reader of
- * logs that hangs would hold up every request.
+ * Writes lines to a file descriptor without ever blocking on its reader. On
+ * Linux, writing to a full pipe blocks the whole process, so that a log reader
+ * that hangs would stall every request.
  */
 
 import {write} from 'node:fs';
 
-/** What may wait for a slow reader: some seconds of a busy process's lines. */
+/** Buffer for a slow reader: some seconds of a busy process's lines. */
 const MAX_PENDING_BYTES = 1 << 20;
-/** What goes out in one write; a pipe holds 64 KiB. */
-const MAX_WRITE_BYTES = 48 << 10;
-/** A reader that is merely slow takes some bytes within this time. */
+/** Lines are batched until a write has this size; a pipe holds 64 KiB. */
+const WRITE_BATCH_BYTES = 48 << 10;
+/**
+ * Delay after a full pipe; a reader that is merely slow drains some meanwhile.
+ */
 const RETRY_DELAY_MS = 20;
 
-/** Lines on their way; what does not fit is dropped and counted. */
+/** Queue of lines to write; lines that do not fit are dropped and counted. */
 export class BoundedOutput {
   private readonly lines: Buffer[] = [];
   private pendingBytes = 0;
@@ -22,12 +24,12 @@
 
   constructor(private readonly descriptor: number) {}
 
-  /** Lines dropped since the start. */
+  /** Lines dropped since this output was created. */
   get dropped(): number {
     return this.droppedLines;
   }
 
-  /** Takes one line, its end included. */
+  /** Queues one line, which includes its line break. */
   write(line: string): void {
     const bytes = Buffer.from(line);
     if (this.pendingBytes + bytes.length > MAX_PENDING_BYTES) {
@@ -49,7 +51,7 @@
   private takeBatch(): Buffer {
     const taken: Buffer[] = [];
     let bytes = 0;
-    while (this.lines.length > 0 && bytes < MAX_WRITE_BYTES) {
+    while (this.lines.length > 0 && bytes < WRITE_BATCH_BYTES) {
       const line = this.lines.shift() as Buffer;
       taken.push(line);
       bytes += line.length;
@@ -60,14 +62,14 @@
   private writeAll(batch: Buffer): void {
     write(this.descriptor, batch, 0, batch.length, null, (err, written) => {
       const isPipeFull = err?.code === 'EAGAIN';
-      const taken = written ?? 0;
-      const rest = batch.subarray(taken);
-      this.pendingBytes -= taken;
+      const writtenBytes = written ?? 0;
+      const rest = batch.subarray(writtenBytes);
+      this.pendingBytes -= writtenBytes;
       if (isPipeFull || (err === null && rest.length > 0)) {
         setTimeout(() => this.writeAll(rest), RETRY_DELAY_MS).unref();
         return;
       }
-      // Nobody reads any more: the lines are lost, the process goes on.
+      // Any other error means that the reader is gone: the rest is discarded.
       this.pendingBytes -= rest.length;
       this.isWriting = false;
       this.writeNext();
--- a/src/core/cancellation.ts
+++ b/src/core/cancellation.ts
@@ -1,7 +1,7 @@
-/** Whether a call was cancelled, and whom to tell of it. */
+/** A lightweight AbortController for the calls that pass through a process. */
 
 /**
- * What the steps of a call need of an AbortSignal. A real one costs a call as
+ * The part of AbortSignal that calls need. A real AbortSignal costs a call as
  * much as its JSON does (11 us with two listeners, against less than 1 us).
  */
 export interface CancelSignal {
@@ -14,7 +14,10 @@
   removeEventListener(type: 'abort', listener: () => void): void;
 }
 
-/** Cancels once; listeners that come later must look at `aborted` first. */
+/**
+ * A signal that can be cancelled once. A listener that is added after that is
+ * never called, so check `aborted` before adding one.
+ */
 export class Cancellation implements CancelSignal {
   private readonly listeners = new Set<() => void>();
   private done = false;
@@ -31,7 +34,7 @@
     this.listeners.delete(listener);
   }
 
-  /** Every listener hears of it once; a second cancel says nothing new. */
+  /** Calls every listener once; a second cancel has no effect. */
   cancel(): void {
     if (this.done) return;
     this.done = true;
@@ -40,7 +43,7 @@
   }
 }
 
-/** Cancelled with either of the two. */
+/** Returns a signal that is cancelled as soon as either of the two is. */
 export function joined(
   first: CancelSignal,
   second: CancelSignal
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -1,6 +1,6 @@
-/** Outcomes of calls that are not idempotent, as every process sees them. */
+/** Messages about claims of idempotency keys, shared by entries and control. */
 
-/** A recorded answer of a non-idempotent call. */
+/** The recorded response of a non-idempotent call. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly headers: readonly (readonly [string, string])[];
@@ -13,16 +13,17 @@
   | {readonly kind: 'not run'}
   | {readonly kind: 'unknown'};
 
-/** What is on record of a key, asked without claiming it. */
+/** Result of looking up a key without claiming it. */
 export type LookupResult =
   | Exclude<ClaimResult, {readonly kind: 'granted' | 'full'}>
-  /** Nothing that bars a claim. */
+  /** A claim of the key would be granted. */
   | {readonly kind: 'none'};
 
 /** Result of a claim. */
 export type ClaimResult =
   | {readonly kind: 'granted'; readonly attempt: number}
   | {readonly kind: 'recorded'; readonly answer: RecordedAnswer}
+  /** Another request holds the claim and has not settled it. */
   | {
       readonly kind: 'pending';
       readonly attempt: number;
@@ -30,9 +31,11 @@
       readonly targetId: string;
       readonly agentBootId: string;
     }
-  /** It may have run; its answer was lost. */
+  /** The call may have run; its response was lost. */
   | {readonly kind: 'unknown'}
   /** The key was used with another request. */
   | {readonly kind: 'mismatch'}
+  /** The key is older than the retention, so its record may be gone. */
   | {readonly kind: 'expired'}
+  /** No more keys can be recorded for this customer. */
   | {readonly kind: 'full'};
--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -1,13 +1,15 @@
-/** Errors between our own processes; each carries the step and the peer. */
+/** Errors of calls between processes, of settings and of durable state. */
 
-/** What went wrong in a call to a peer. */
+/** Why a call to a peer failed. */
 export type PeerFault =
-  /** No connection was made, so the peer cannot have seen the call. */
+  /**
+   * No connection was established, so the peer cannot have received the call.
+   */
   | {readonly kind: 'unreachable'; readonly refusedByHost: boolean}
   /** The call was sent; whether it took effect is not known. */
   | {readonly kind: 'lost'}
   | {readonly kind: 'timeout'}
-  /** The peer answered with an error of its own. */
+  /** The peer replied with an error. */
   | {readonly kind: 'rejected'; readonly code: number; readonly data?: unknown}
   | {readonly kind: 'version'; readonly theirs: string};
 
@@ -24,7 +26,10 @@
   }
 }
 
-/** A setting or rule file that cannot be used; one line a problem. */
+/**
+ * A settings or rules file that cannot be used; the message has one line per
+ * problem.
+ */
 export class ConfigError extends Error {
   constructor(readonly problems: readonly string[]) {
     super(problems.join('\n'));
@@ -32,7 +37,7 @@
   }
 }
 
-/** Durable state that cannot be trusted; the process stops. */
+/** Durable state that cannot be trusted or accessed; the process stops. */
 export class StorageError extends Error {
   constructor(
     readonly step: string,
@@ -44,7 +49,7 @@
   }
 }
 
-/** Narrowing helper for exhaustive switches. */
+/** Makes the compiler check that a switch is exhaustive. */
 export function unreachable(value: never): never {
   throw new Error(`unexpected variant: ${JSON.stringify(value)}`);
 }
--- a/src/core/httpHeaders.ts
+++ b/src/core/httpHeaders.ts
@@ -1,4 +1,7 @@
-/** Which headers a relay passes on. Raw header lists are flat, as in Node. */
+/**
+ * Selects the headers that a relay forwards. Raw header lists are flat, as in
+ * Node: names and values alternate.
+ */
 
 const HOP_BY_HOP = new Set([
   'connection',
@@ -14,14 +17,17 @@
 const OWN_PREFIX = 'marlpulley-';
 
 /**
- * Drops what belongs to one connection, and every header of our own: a target
- * or caller that sent one could otherwise pass for an agent.
+ * Drops hop-by-hop headers and every header of the internal protocol: a target
+ * or caller that sent one could otherwise impersonate an agent.
  */
 export function endToEndHeaders(raw: readonly string[]): string[] {
   return relayedHeaders(raw, {});
 }
 
-/** As `endToEndHeaders`, with those of `set` in place; its names are lower case. */
+/**
+ * Like `endToEndHeaders`, then replaces or adds `set`, whose names are lower
+ * case.
+ */
 export function relayedHeaders(
   raw: readonly string[],
   set: Readonly<Record<string, string>>
@@ -31,7 +37,7 @@
     const name = raw[i] ?? '';
     const lower = name.toLowerCase();
     if (HOP_BY_HOP.has(lower) || lower.startsWith(OWN_PREFIX)) continue;
-    // Not `in`: a header named like a method of objects would be dropped.
+    // Not `in`: it would drop a header that is named like an Object method.
     if (!Object.hasOwn(set, lower)) kept.push(name, raw[i + 1] ?? '');
   }
   return withAdded(kept, set);
@@ -67,7 +73,7 @@
   return kept;
 }
 
-/** Pairs of a raw list, for records. */
+/** Pairs of names and values, in the form that recorded responses have. */
 export function headerPairs(
   raw: readonly string[]
 ): readonly (readonly [string, string])[] {
--- a/src/core/keyName.ts
+++ b/src/core/keyName.ts
@@ -1,11 +1,11 @@
-/** A short name by which two shared secrets are told apart. */
+/** A short public name for a shared secret, to distinguish it from another. */
 
 import {createHash} from 'node:crypto';
 
 /** Too short to confirm a guess at the secret. */
 const HEX_DIGITS = 4;
 
-/** What a process may tell of its key before the peer proved to hold it. */
+/** Safe to send before the peer has proved that it holds the secret. */
 export function keyName(secret: string): string {
   return createHash('sha256')
     .update(`key name of ${secret}`)
--- a/src/core/logger.ts
+++ b/src/core/logger.ts
@@ -1,8 +1,8 @@
-/** JSON-line logs by bunyan, one logger a process. */
+/** JSON-line logs by bunyan, one logger per process. */
 
 import bunyan from 'bunyan';
 
-/** What modules need of a logger. */
+/** The part of a bunyan logger that modules use. */
 export type Logger = Pick<
   bunyan,
   'trace' | 'debug' | 'info' | 'warn' | 'error' | 'fatal' | 'child'
--- a/src/core/mapMessages.ts
+++ b/src/core/mapMessages.ts
@@ -1,30 +1,31 @@
-/** Expert maps, and the messages by which a group of ranks changes its map. */
+/** Expert maps, and the messages of a map switch in a group of ranks. */
 
 /**
- * Where the experts of a layer stand. Both tables are by rank, then by slot.
- * The shares of all replicas of one expert add up to 1.
+ * Assigns the experts of a layer to slots. Both tables are indexed by rank,
+ * then by slot. The shares of all replicas of one expert add up to 1.
  */
 export interface ExpertMap {
   /** Expert held in each slot. */
   readonly slots: readonly (readonly number[])[];
-  /** Part of that expert's tokens, 0 to 1, that this slot takes. */
+  /** Fraction of that expert's tokens, 0 to 1, that this slot processes. */
   readonly shares: readonly (readonly number[])[];
 }
 
-/** A map under the number by which it was decided. */
+/** A map with the version under which it was decided. */
 export interface VersionedMap {
   readonly version: number;
   readonly map: ExpertMap;
 }
 
-/** A decided map and the step from which all ranks use it. */
+/** A committed map and the first step that all ranks run with it. */
 export interface CommittedMap extends VersionedMap {
   readonly switchStep: number;
 }
 
-/** Identifies one attempt to switch; no two attempts share a version. */
+/** Identifies one map switch; no two switches of a group share a version. */
 export interface SwitchId {
   readonly group: string;
+  /** Fencing token of the controller that prepared the switch. */
   readonly fence: number;
   readonly version: number;
 }
@@ -32,37 +33,43 @@
 const VERSIONS_PER_FENCE = 1_000_000;
 
 /**
- * Version of the nth switch under a fence. Two controllers can never use the
- * same one, so that no late order of one is taken for an order of the other,
- * also by engines that look at the version alone.
+ * Version of the nth switch under a fencing token. Two controllers never use
+ * the same version, so that a delayed order of one is not mistaken for an
+ * order of the other, even by engines that check the version only.
  */
 export function versionOf(fence: number, nth: number): number {
   return fence * VERSIONS_PER_FENCE + nth;
 }
 
-/** The fence under which a version was prepared. */
+/** The fencing token under which a version was prepared. */
 export function fenceOfVersion(version: number): number {
   return Math.floor(version / VERSIONS_PER_FENCE);
 }
 
-/** Controller to rank: load the map and do not pass the step undecided. */
+/**
+ * Controller to rank: load the weights that the map needs, and do not run
+ * `switchStep` before the decision.
+ */
 export interface PrepareMessage extends SwitchId {
   readonly kind: 'prepare';
   readonly switchStep: number;
   readonly map: ExpertMap;
 }
 
-/** Controller to rank: load weights beside those in use; promises nothing. */
+/**
+ * Controller to rank: load weights ahead of a switch, beside those in use.
+ * Commits the rank to nothing.
+ */
 export interface StageMessage {
   readonly kind: 'stage';
   readonly group: string;
   readonly fence: number;
-  /** Slot of this rank, from 0, for which a later map will use them. */
+  /** Slot of this rank, from 0, in which a later map will use the weights. */
   readonly slot: number;
   readonly expert: number;
 }
 
-/** Rank to controller: the weights are there, or could not be had. */
+/** Rank to controller: the weights are loaded, or loading them failed. */
 export interface StagedMessage {
   readonly kind: 'staged';
   readonly group: string;
@@ -72,51 +79,63 @@
   readonly ok: boolean;
 }
 
-/** Controller to rank: what was decided; it is durable when this is sent. */
+/** Controller to rank: the decision, which is durable before this is sent. */
 export interface DecisionMessage extends SwitchId {
   readonly kind: 'decision';
   readonly decision: 'commit' | 'abort';
 }
 
-/** Rank to controller: the engine holds before the step until it is told. */
+/**
+ * Rank to controller: the engine will not run the switch step before the
+ * decision.
+ */
 export interface PromiseMessage extends SwitchId {
   readonly kind: 'promise';
   readonly rank: number;
 }
 
-/** Why a rank does not promise. */
+/** Why a rank gives no promise. */
 export type PromiseRefusal =
-  /** The order carries an older fence than the rank knows. */
+  /**
+   * The rank knows a newer fencing token, or the version is already decided.
+   */
   | 'fenced'
-  /** The rank has not yet learned fence and map since its start. */
+  /**
+   * The rank has not joined yet: since its start it knows no token and no map.
+   */
   | 'unready'
-  /** An earlier switch is not finished at this rank. */
+  /** An earlier switch is still in progress at this rank. */
   | 'busy'
-  /** The engine had reached the step before it could hold. */
+  /** The engine reached the switch step before it could hold. */
   | 'passed'
   /** The engine could not load the weights. */
   | 'load-failed';
 
-/** Rank to controller: no promise was given. */
+/** Rank to controller: the rank does not promise. */
 export interface RefusalMessage extends SwitchId {
   readonly kind: 'refusal';
   readonly rank: number;
   readonly reason: PromiseRefusal;
   readonly knownFence: number;
-  /** Step of the engine, to choose a later one. */
+  /** Current step of the engine, so that a retry can choose a later one. */
   readonly step: number;
 }
 
-/** Rank to control, after a start: what is in force? */
+/** Rank to control, after a start: requests the current map. */
 export interface JoinRequest {
   readonly kind: 'join';
   readonly group: string;
   readonly rank: number;
-  /** New at each attempt, so that a late answer to an older one is seen. */
+  /**
+   * New at each attempt, so that a late reply to an earlier one is recognized.
+   */
   readonly attempt: string;
 }
 
-/** Quorum-backed answer; nothing that was pending can still be committed. */
+/**
+ * Reply to a JoinRequest, confirmed by a quorum. Switches that were pending
+ * before it can no longer be committed.
+ */
 export interface JoinAnswer {
   readonly kind: 'joinAnswer';
   readonly group: string;
@@ -128,31 +147,33 @@
   readonly previous?: CommittedMap;
 }
 
-/** Rank to control, from the barrier: what was decided? */
+/**
+ * Rank to control, while it holds at the switch step: requests the decision.
+ */
 export interface DecisionQuery extends SwitchId {
   readonly kind: 'decisionQuery';
   readonly rank: number;
 }
 
-/** Rank to control: tokens by expert since the last report; may be lost. */
+/** Rank to control: tokens per expert since the last report; may be lost. */
 export interface ExpertCountsReport {
   readonly kind: 'expertCounts';
   readonly group: string;
   readonly rank: number;
   readonly agentBootId: string;
-  /** Grows with each report of a boot; an older one is ignored. */
+  /** Grows with each report of a boot; a reordered report is ignored. */
   readonly seq: number;
   readonly step: number;
-  /** Middle of the counted span, milliseconds before sending. */
+  /** Age of the middle of the counted interval when sent, milliseconds. */
   readonly ageMs: number;
   readonly counts: readonly number[];
 }
 
-/** Controller to rank. */
+/** Messages from the controller to a rank. */
 export type ToRankMessage =
   PrepareMessage | DecisionMessage | JoinAnswer | StageMessage;
 
-/** Rank to controller. */
+/** Messages from a rank to the controller. */
 export type FromRankMessage =
   | PromiseMessage
   | RefusalMessage
@@ -161,7 +182,7 @@
   | DecisionQuery
   | ExpertCountsReport;
 
-/** What the state machine of a switch takes of a rank's messages. */
+/** The messages of a rank that the state machine of a map switch handles. */
 export type SwitchMessage = Exclude<
   FromRankMessage,
   StagedMessage | ExpertCountsReport
--- a/src/core/metrics.ts
+++ b/src/core/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and timings by hot-shots, kept in memory as well for `status`. */
+/** Counters, sent to StatsD by hot-shots and kept in memory. */
 
 import {StatsD} from 'hot-shots';
 
@@ -43,18 +43,18 @@
   sent: number;
 }
 
-/** As often as a process sends what its counters have grown by. */
+/** How often a process sends the increases of its counters. */
 const SEND_INTERVAL_MS = 250;
-/** One datagram on Ethernet, with room for the headers. */
+/** Fits into one Ethernet frame with the headers. */
 const MAX_DATAGRAM_BYTES = 1_400;
 
-/** Where a process counts what it does. */
+/** The counters of one process. */
 export class Metrics {
   private readonly counters = new Map<string, Counter>();
   private readonly client: StatsD | undefined;
   private readonly timer: NodeJS.Timeout | undefined;
 
-  /** With no address the counters stay in memory only. */
+  /** Without an address, counters stay in memory only. */
   constructor(
     processId: string,
     address?: {readonly host: string; readonly port: number}
@@ -84,14 +84,16 @@
     return Object.fromEntries(totals) as Record<string, number>;
   }
 
-  /** The last counts go out first. */
+  /** Sends the remaining increases, then closes the socket. */
   close(): void {
     clearInterval(this.timer);
     this.send();
     this.client?.close();
   }
 
-  /** One line a counter: a line and a datagram a count cost a call too much. */
+  /**
+   * Sends one line per counter: a datagram per count cost each call too much.
+   */
   private send(): void {
     for (const counter of this.counters.values()) {
       const increase = counter.total - counter.sent;
--- a/src/core/nearestName.ts
+++ b/src/core/nearestName.ts
@@ -1,9 +1,9 @@
-/** Finds the name that a person probably meant. */
+/** Suggests a known name for a misspelled one. */
 
-/** Most edits at which two spellings still count as near. */
+/** Maximum edit distance of a suggestion. */
 const MAX_EDITS = 3;
 
-/** Edits of one character, or swaps of two neighbours, between two words. */
+/** Damerau-Levenshtein distance: single edits and swaps of neighbours. */
 function editDistance(from: string, to: string): number {
   const rows = [Array.from({length: to.length + 1}, (_, col) => col)];
   const at = (row: number, col: number) => rows[row]?.[col] ?? Infinity;
@@ -26,7 +26,7 @@
   return at(from.length, to.length);
 }
 
-/** The known name nearest to `name`; none when all are far off. */
+/** Returns the known name nearest to `name`, unless all are too different. */
 export function nearestName(
   name: string,
   known: Iterable<string>
@@ -43,7 +43,7 @@
   return best?.name;
 }
 
-/** `; did you mean "x"?`, or nothing: for the end of an error message. */
+/** Returns `; did you mean "x"?` or nothing, to append to an error message. */
 export function suggestion(name: string, known: Iterable<string>): string {
   const nearest = nearestName(name, known);
   return nearest === undefined ? '' : `; did you mean "${nearest}"?`;
--- a/src/core/nodeMetrics.ts
+++ b/src/core/nodeMetrics.ts
@@ -1,50 +1,57 @@
 /**
- * Counters and histograms of one node, in one place, as text in the usual
- * exposition format. Labels are services, which the document of the site names,
- * and kinds that the code names: their number is bounded.
+ * Counters, histograms and gauges of one node, in the Prometheus exposition
+ * format. Label values are the services of the site document and kinds that
+ * are fixed in the code, so that the number of series is bounded.
  */
 
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** From an idle target's answer to the longest time limits in use, seconds. */
+/**
+ * From the response time of an idle target to the longest timeouts in use,
+ * seconds.
+ */
 const LATENCY_BUCKETS_S = [
   0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1, 2, 4, 8, 16,
 ];
-/** Around the pauses that callers accept, seconds. */
+/** Finest around the pauses that callers accept, seconds. */
 const PAUSE_BUCKETS_S = [0.03, 0.06, 0.09, 0.12, 0.15, 0.2, 0.4, 1, 2];
 const MS_PER_S = 1_000;
 
-/** What is read when somebody asks, rather than counted. */
+/** Values that are read when the metrics are scraped. */
 export interface NodeGauges {
-  /** Whether this node leads, 0 or 1. */
+  /** 1 when this node is the leader, otherwise 0. */
   leads(): number;
   siteVersion(): number;
-  /** Nodes that reported to the leader lately. */
+  /** Nodes that have recently reported to the leader. */
   activeNodes(): number;
+  /** Log lines dropped since the start. */
   droppedLines(): number;
-  /** By service. */
+  /** One entry per service. */
   pools(): readonly PoolGauge[];
 }
 
-/** One service at this node. */
+/** The state of one service at this node. */
 export interface PoolGauge {
   readonly service: string;
+  /** Concurrency limit of this node for the service. */
   readonly places: number;
   readonly inFlight: number;
   readonly waiting: number;
-  /** Length of a pass as streams show it, milliseconds; 0 when none runs. */
+  /** Pass duration measured from streams, milliseconds; 0 when none runs. */
   readonly paceMs: number;
 }
 
-/** Milliseconds of one request that was passed on. */
+/** Timings of one request that a target answered, milliseconds. */
 export interface RequestTimings {
+  /** From the arrival of the request until the queue admitted it. */
   readonly placeMs: number;
-  /** 0 when there was none. */
+  /** From the arrival until the first event; 0 without a stream. */
   readonly firstEventMs: number;
+  /** Longest pause between two events. */
   readonly longestGapMs: number;
 }
 
-/** All that a node counts. */
+/** The Prometheus metrics of one node. */
 export class NodeMetrics {
   private readonly registry = new Registry();
   private readonly refusals = this.counter(
@@ -118,7 +125,7 @@
     this.reports.inc({outcome});
   }
 
-  /** Sets what is read when somebody asks. */
+  /** Registers the gauges, which are read at each scrape. */
   watch(gauges: NodeGauges): void {
     this.gauge('marlpulley_leads', 'whether this node leads', gauges.leads);
     this.gauge(
@@ -147,7 +154,7 @@
     );
   }
 
-  /** The text for whoever collects it. */
+  /** The metrics in the exposition format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/src/core/operatorAnswers.ts
+++ b/src/core/operatorAnswers.ts
@@ -1,12 +1,13 @@
-/** What control answers to the operators' client. */
+/** Replies of control to the command-line client of operators. */
 
 import type {Announcement, CustomerUsage} from './wire';
 
-/** Result of a submission in the agreed order of all submissions. */
+/** Result of submitting a rule file, decided in log order. */
 export type SubmitResult =
   | {
       readonly kind: 'accepted';
       readonly revision: number;
+      /** Whether the same file had been accepted before. */
       readonly resent: boolean;
     }
   | {
@@ -18,12 +19,13 @@
       readonly kind: 'conflict';
       readonly revision: number;
       readonly current: number;
-      /** Who holds that number. */
+      /** Who submitted the other file with that revision. */
       readonly winner: string;
     }
+  /** The revision skips one or more after the current. */
   | {readonly kind: 'gap'; readonly revision: number; readonly current: number};
 
-/** Answer to a submission; a file with problems never reaches the log. */
+/** Reply to a submission; an invalid file never reaches the log. */
 export type SubmitAnswer =
   | SubmitResult
   | {
@@ -35,7 +37,7 @@
       }[];
     };
 
-/** One control instance, as it sees itself. */
+/** State of one control instance, as it reports itself. */
 export interface InstanceStatus {
   readonly instanceId: string;
   readonly role: string;
@@ -45,7 +47,7 @@
   readonly commitIndex: number;
 }
 
-/** An entry or agent, as one control instance hears of it. */
+/** An entry or agent, as last polled one control instance. */
 export interface ProcessStatus {
   readonly processId: string;
   readonly role: 'entry' | 'agent';
@@ -54,11 +56,11 @@
   readonly heldRevision: number;
   /** Milliseconds since its last poll. */
   readonly pollAgeMs: number;
-  /** Milliseconds since it proved its rules current; absent when it can't. */
+  /** Age of its proof that its rules are current; absent without a proof. */
   readonly provenAgeMs?: number;
 }
 
-/** The view of one control instance. */
+/** Reply to `status`: the view of one control instance. */
 export interface StatusAnswer {
   readonly instance: InstanceStatus;
   readonly revision: number;
@@ -67,7 +69,7 @@
   readonly targets: readonly Announcement[];
 }
 
-/** Use by customer since the system was set up. */
+/** Reply to `usage`: usage by customer since the system was set up. */
 export interface UsageAnswer {
   readonly customers: readonly CustomerUsage[];
 }
--- a/src/core/passProfile.ts
+++ b/src/core/passProfile.ts
@@ -1,17 +1,17 @@
-/** What an engine's profile tells of the length of its passes. */
+/** The parts of an engine's profile that determine its pass duration. */
 
 /** Cost model of one engine. */
 export interface PassProfile {
-  /** Token steps in one pass of a group. */
+  /** Steps in one pass of a group; each step gives every stream one token. */
   readonly stepsPerPass: number;
-  /** Fixed time of a token step, milliseconds. */
+  /** Fixed part of the duration of a step, milliseconds. */
   readonly stepMs: number;
-  /** Further time of a step for each running request, milliseconds. */
+  /** What each running request adds to a step, milliseconds. */
   readonly stepMsPerRequest: number;
-  /** Time in which a rank reads a usual prompt, milliseconds. */
+  /** Prefill time of a typical prompt on one rank, milliseconds. */
   readonly usualReadMs: number;
-  /** Tokens of a usual answer. */
+  /** Tokens of a typical response. */
   readonly usualAnswerTokens: number;
-  /** Part of the work for tokens that goes to experts, 0 to 1. */
+  /** Fraction of the work per token that is done by experts, 0 to 1. */
   readonly expertShare: number;
 }
--- a/src/core/progress.ts
+++ b/src/core/progress.ts
@@ -1,9 +1,11 @@
-/** Carries the deadline and the cancellation of one call through every step. */
+/**
+ * Deadline and cancellation of one call, passed to every step that serves it.
+ */
 
 import {CancelSignal, Cancellation} from './cancellation';
 import {refuse, Step} from './refusal';
 
-/** Deadline and cancel of a call. Times are `performance.now()` milliseconds. */
+/** Context of one call. Times are `performance.now()` milliseconds. */
 export class Progress {
   private readonly cancellation = new Cancellation();
 
@@ -17,25 +19,26 @@
     return this.cancellation;
   }
 
-  /** Milliseconds left, never negative. */
+  /** Milliseconds until the deadline, never negative. */
   remainingMs(): number {
     return Math.max(0, this.deadlineAt - performance.now());
   }
 
   /**
-   * A new deadline for work that has met its first: a stream under way outlives
-   * the time to its head, and could otherwise never go on at another target.
+   * Replaces a deadline that was already met. The deadline of a stream is for
+   * its first token; a stream that lasts longer could otherwise never be
+   * resumed at another target.
    */
   renew(timeoutMs: number): void {
     this.deadlineAt = performance.now() + timeoutMs;
   }
 
-  /** Stops all work of the call, for instance when the caller has gone. */
+  /** Stops all work of the call, for instance when the caller disconnects. */
   cancel(): void {
     this.cancellation.cancel();
   }
 
-  /** Throws `deadline-passed` once nothing can be answered in time. */
+  /** Throws a `deadline-passed` refusal after the deadline. */
   assertInTime(step: Step): void {
     if (this.remainingMs() > 0) return;
     throw refuse(
--- a/src/core/promptPrefix.ts
+++ b/src/core/promptPrefix.ts
@@ -1,13 +1,15 @@
 /**
  * Digests of the leading blocks of a prompt, for prefix-cache affinity. They
- * are made of text, so that an entry can make them without a tokenizer.
+ * are computed from text, so that an entry needs no tokenizer.
  */
 
 import {createHash} from 'node:crypto';
 
 /** Characters in one block; the last block of a message may be shorter. */
 export const BLOCK_CHARS = 1024;
-/** Leading blocks that are told apart; longer prompts share the rest. */
+/**
+ * Number of leading blocks that get a digest; the rest of a prompt is ignored.
+ */
 export const MAX_BLOCKS = 32;
 const DIGEST_HEX_DIGITS = 16;
 const CHARS_PER_TOKEN = 4;
@@ -18,12 +20,14 @@
   readonly text: string;
 }
 
-/** Estimated tokens of a text. */
+/** Estimates the number of tokens of a text. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARS_PER_TOKEN);
 }
 
-/** Chained digests, shortest prefix first: each covers all blocks before it. */
+/**
+ * Chained digests, shortest prefix first: each also covers all earlier blocks.
+ */
 export function prefixDigests(
   messages: readonly PromptMessage[]
 ): readonly string[] {
--- a/src/core/protocolVersion.ts
+++ b/src/core/protocolVersion.ts
@@ -1,4 +1,7 @@
-/** The internal protocol's version; peers that differ refuse each other. */
+/**
+ * The version of the internal protocol; peers of different versions reject each
+ * other.
+ */
 
-/** Grows with every incompatible change. */
+/** Increased with every incompatible change. */
 export const PROTOCOL_VERSION = '1';
--- a/src/core/readText.ts
+++ b/src/core/readText.ts
@@ -1,8 +1,8 @@
-/** Reads the body of a call between processes. */
+/** Reads the body of an HTTP request as text. */
 
 import type {IncomingMessage} from 'node:http';
 
-/** The whole body as text; rejects beyond `maxBytes`. */
+/** Reads the whole body; rejects when it exceeds `maxBytes`. */
 export async function readText(
   req: IncomingMessage,
   maxBytes: number
--- a/src/core/refusal.ts
+++ b/src/core/refusal.ts
@@ -1,15 +1,18 @@
-/** Every reason for which marlpulley refuses a request, and what it proves. */
+/**
+ * Every reason for which marlpulley refuses a request, and whether the request
+ * may have run nonetheless.
+ */
 
 /** Whether the request can have taken effect at its target. */
 export type RunOutcome = 'not run' | 'outcome unknown';
 
 interface RefusalKind {
-  /** HTTP status towards the caller. */
+  /** HTTP status sent to the caller. */
   readonly status: number;
   readonly outcome: RunOutcome;
-  /** Whether sending the same request again can help and is harmless. */
+  /** Whether the caller may retry: a retry is safe and can succeed. */
   readonly retryable: boolean;
-  /** Whether the entry may itself try another target after this refusal. */
+  /** Whether the entry itself may retry at another target. */
   readonly tryElsewhere: boolean;
   readonly meaning: string;
 }
@@ -205,10 +208,10 @@
   draining: kind(503, 'not run', true, true, 'the process is shutting down'),
 } as const satisfies Record<string, RefusalKind>;
 
-/** The name of a refusal, as in headers, bodies, logs and counters. */
+/** Name of a refusal, as used in headers, bodies, logs and counters. */
 export type RefusalReason = keyof typeof REFUSALS;
 
-/** Where in the path of a request something happened. */
+/** Step of the request path at which a refusal arose. */
 export type Step =
   | 'receive'
   | 'identify'
@@ -222,19 +225,21 @@
   | 'answer'
   | 'settle';
 
-/** One refusal, as it travels from agent to entry to caller. */
+/** A refusal, as sent from agent to entry and on to the caller. */
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly step: Step;
   /** Id of the process or target at which it arose. */
   readonly peer: string;
-  /** For a person; never parsed. */
+  /** Human-readable; never parsed. */
   readonly detail: string;
-  /** Milliseconds after which a retry can help. */
+  /** Milliseconds after which a retry may succeed. */
   readonly retryAfterMs?: number;
 }
 
-/** Thrown by a filter or a gate; turned into an answer at the wire only. */
+/**
+ * Thrown by filters and gates; only the HTTP server turns it into a response.
+ */
 export class RefusalError extends Error {
   constructor(readonly refusal: Refusal) {
     super(
@@ -244,7 +249,7 @@
   }
 }
 
-/** Builds a RefusalError in one line. */
+/** Creates a RefusalError. */
 export function refuse(
   reason: RefusalReason,
   step: Step,
--- a/src/core/rounded.ts
+++ b/src/core/rounded.ts
@@ -1,6 +1,6 @@
-/** Figures as log lines show them: whole milliseconds and counts. */
+/** Rounding of the milliseconds and counts in log lines. */
 
-/** Each figure as a whole number. */
+/** Returns the record with every value rounded to a whole number. */
 export function rounded(
   figures: Readonly<Record<string, number>>
 ): Readonly<Record<string, number>> {
--- a/src/core/sendJson.ts
+++ b/src/core/sendJson.ts
@@ -1,8 +1,8 @@
-/** Answers with one JSON document. */
+/** Sends JSON responses. */
 
 import type {ServerResponse} from 'node:http';
 
-/** Sends the whole answer; header names are lower case. */
+/** Sends a complete response with a JSON body; header names are lower case. */
 export function sendJson(
   res: ServerResponse,
   status: number,
--- a/src/core/sseParser.ts
+++ b/src/core/sseParser.ts
@@ -1,4 +1,4 @@
-/** Cuts a byte stream into server-sent events; keeps each event's own bytes. */
+/** Parses server-sent events and keeps the raw text of each. */
 
 import {StringDecoder} from 'node:string_decoder';
 
@@ -6,9 +6,9 @@
 const EVENT_END = /(?:\r\n|\n|\r(?!\n))(?:\r\n|\n|\r(?!\n))/g;
 const LINE_END = /\r\n|\n|\r/;
 
-/** One event. */
+/** One server-sent event. */
 export interface SseEvent {
-  /** As it came, with the empty line at its end. */
+  /** The event as received, including the empty line that ends it. */
   readonly raw: string;
   readonly id?: string;
   /** Event type; absent for plain messages. */
@@ -17,22 +17,24 @@
   readonly data: string;
 }
 
-/** Incremental; holds at most one unfinished event. */
+/** Incremental parser; buffers at most one incomplete event. */
 export class SseParser {
   private readonly decoder: StringDecoder;
   private pending = '';
 
-  /** With `latin1` each byte stays itself, whatever the stream holds. */
+  /**
+   * With `latin1` each byte becomes one character, so that `raw` is lossless.
+   */
   constructor(encoding: 'utf8' | 'latin1' = 'utf8') {
     this.decoder = new StringDecoder(encoding);
   }
 
-  /** Characters of the unfinished event. */
+  /** Length of the incomplete event. */
   get pendingChars(): number {
     return this.pending.length;
   }
 
-  /** The events that the chunk completes. */
+  /** Returns the events that the chunk completes. */
   push(chunk: Buffer): readonly SseEvent[] {
     this.pending += this.decoder.write(chunk);
     const events: SseEvent[] = [];
@@ -51,7 +53,8 @@
   let id: string | undefined;
   let event: string | undefined;
   const data: string[] = [];
-  // Most have LF alone, and a split by a pattern takes several times as long.
+  // Most events use LF only, and splitting by a pattern takes several times as
+  // long.
   const lineEnd = raw.includes('\r') ? LINE_END : '\n';
   for (const line of raw.split(lineEnd)) {
     const colon = line.indexOf(':');
--- a/src/core/textSchemas.ts
+++ b/src/core/textSchemas.ts
@@ -1,17 +1,17 @@
 /**
- * Values that people write in files: text on one side, typed on the other.
- * Each schema carries its accepted range as its description; messages and the
- * pages for operators show the same words.
+ * Schemas of the values in settings and rule files, which turn text into typed
+ * values. The description of each schema is its accepted range, which error
+ * messages and the pages for operators show alike.
  */
 
 import * as z from 'zod';
 
 const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
-/** The value that a text stands for; undefined when it stands for none. */
+/** Parses a text; undefined when it is not a valid value. */
 export type TextReader<T> = (text: string) => T | undefined;
 
-/** A schema that refuses what the reader cannot take, naming the range. */
+/** A schema that fails with the range when the reader returns undefined. */
 export function textSchema<T>(range: string, read: TextReader<T>) {
   return z
     .string()
@@ -27,7 +27,7 @@
     .describe(range);
 }
 
-/** The value when it lies in the range, both ends included. */
+/** Returns the value if it lies in the range, which includes both ends. */
 export function within(
   value: number,
   low: number,
@@ -59,7 +59,10 @@
   );
 }
 
-/** The range of a schema, also of an optional one or one with a default. */
+/**
+ * Returns the range of a schema, including an optional one or one with a
+ * default.
+ */
 export function rangeOf(schema: z.ZodType): string {
   if (schema instanceof z.ZodOptional || schema instanceof z.ZodDefault)
     return rangeOf(schema.unwrap() as z.ZodType);
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange with the next process on the way, and what a failure of
- * it proves. Bodies pass through with back-pressure in both directions.
+ * HTTP requests to the next hop, with errors that tell whether the request may
+ * have run. Bodies are streamed with back-pressure in both directions.
  */
 
 import http from 'node:http';
@@ -10,12 +10,12 @@
 import type {CancelSignal} from './cancellation';
 import {endToEndHeaders, headerPairs} from './httpHeaders';
 
-/** Fails before the answer's head has come. */
+/** A request that failed before the head of its response arrived. */
 export class UpstreamError extends Error {
   constructor(
     /**
-     * Whether a byte of the request may have reached the peer. Only when it
-     * is false has the request certainly not run.
+     * Whether a byte of the request may have reached the peer. The request has
+     * certainly not run only when this is false.
      */
     readonly sent: boolean,
     detail: string
@@ -30,18 +30,18 @@
   readonly secure: boolean;
   readonly host: string;
   readonly port: number;
-  /** Keep-alive agent; `false` for a connection of its own. */
+  /** Keep-alive agent; `false` for a new connection. */
   readonly agent: http.Agent | false;
   readonly method: string;
   readonly path: string;
   /** Flat list of names and values. */
   readonly headers: readonly string[];
-  /** A body at hand, a stream to pass on, or nothing. */
+  /** A buffered body, a stream to forward, or no body. */
   readonly body: Buffer | http.IncomingMessage | undefined;
   readonly signal: CancelSignal;
 }
 
-/** Resolves with the answer's head; rejects with UpstreamError. */
+/** Resolves with the head of the response; rejects with UpstreamError. */
 export function sendUpstream(
   request: UpstreamRequest
 ): Promise<http.IncomingMessage> {
@@ -60,7 +60,8 @@
     });
     destroyOnAbort(req, signal);
     req.on('socket', socket => {
-      // A kept connection can take bytes at once, and may be closing meanwhile.
+      // A reused connection can send bytes at once, even while the peer closes
+      // it.
       sent = !socket.connecting;
       if (sent) return;
       const ready = socket instanceof TLSSocket ? 'secureConnect' : 'connect';
@@ -72,7 +73,9 @@
   });
 }
 
-/** As the option `signal` of Node does, for a fraction of its time a call. */
+/**
+ * Does what Node's `signal` option does, at a fraction of its cost per call.
+ */
 function destroyOnAbort(req: http.ClientRequest, signal: CancelSignal): void {
   const destroy = () => {
     req.destroy(new Error('the call was cancelled'));
@@ -95,7 +98,7 @@
     if (trailers.length > 0) req.addTrailers(trailers);
     req.end();
   });
-  // A caller that breaks off its body must not look like one that ended it.
+  // A body that the caller aborts must not look complete to the peer.
   body.on('error', err => req.destroy(err));
   body.on('close', () => {
     if (!body.readableEnded)
@@ -104,12 +107,12 @@
   body.pipe(req, {end: false});
 }
 
-/** How the body of an answer ended. */
+/** How relaying the body of a response ended. */
 export type BodyEnd = 'complete' | 'source cut' | 'sink closed';
 
 /**
- * Passes on the body of an answer with its trailers and ends the sink only
- * when the source was complete; the caller of this decides about the rest.
+ * Relays the body and trailers of a response. Ends the sink only when the
+ * source was complete; otherwise the calling function decides how to end it.
  */
 export function relayAnswer(
   source: http.IncomingMessage,
@@ -133,7 +136,7 @@
   });
 }
 
-/** Reads a body to its end; undefined when it exceeds the bound. */
+/** Reads a whole body; undefined when it exceeds `maxBytes`. */
 export async function readBody(
   source: Readable,
   maxBytes: number
@@ -148,19 +151,22 @@
   return Buffer.concat(chunks);
 }
 
-/** Whether a request carries a body at all. */
+/** Whether a request has a body. */
 export function hasBody(req: http.IncomingMessage): boolean {
   const length = req.headers['content-length'];
   if (length !== undefined) return length !== '0';
   return req.headers['transfer-encoding'] !== undefined;
 }
 
-/** Ends a connection so that no reader can take what came for whole. */
+/**
+ * Aborts the connection, so that the reader cannot mistake the body for
+ * complete.
+ */
 export function cutOff(sink: Writable): void {
   sink.destroy();
 }
 
-/** Trailers of a message that was read to its end. */
+/** End-to-end trailers of a message that was read to its end. */
 export function trailersOf({
   rawTrailers,
 }: http.IncomingMessage): [string, string][] {
--- a/src/core/wire.ts
+++ b/src/core/wire.ts
@@ -1,73 +1,76 @@
-/** Messages between our processes, and the limits of the internal protocol. */
+/** Messages between entries, agents and control instances. */
 
 import type {Refusal} from './refusal';
 
-/** Header with the Dispatch, entry to agent. */
+/** Request header with the Dispatch, from entry to agent. */
 export const DISPATCH_HEADER = 'marlpulley-dispatch';
-/** Header with the DispatchReport, agent to entry. */
+/** Response header with the DispatchReport, from agent to entry. */
 export const REPORT_HEADER = 'marlpulley-report';
 
-/** How far a target is in its cold start. */
+/** Progress of a target's cold start. */
 export type Temperature = 'cold' | 'warming' | 'warm';
 
-/** A rank's place in its group, and the group's shape. */
+/** A rank's position in its group, and the dimensions of the group. */
 export interface GroupMember {
+  /** Id of the group. */
   readonly id: string;
+  /** Number of this rank, from 0. */
   readonly rank: number;
+  /** Number of ranks in the group. */
   readonly ranks: number;
-  /** Experts of a layer. */
+  /** Number of experts per layer. */
   readonly experts: number;
-  /** Slots of all ranks together. */
+  /** Expert slots per layer, all ranks together. */
   readonly slots: number;
 }
 
-/** What a target's agent tells of itself with every poll. */
+/** State of a target, which its agent sends with every poll. */
 export interface Announcement {
   readonly targetId: string;
   readonly pool: string;
   readonly availabilityZone: string;
-  /** Address of the agent, where entries dispatch. */
+  /** Address of the agent, to which entries dispatch. */
   readonly host: string;
   readonly port: number;
-  /** Random at each start of the agent. */
+  /** Random id of this boot of the agent. */
   readonly agentBootId: string;
-  /** Time of the agent's start; a later boot replaces an earlier one. */
+  /** Start time of this boot; a later boot replaces an earlier one. */
   readonly agentBootAtMs: number;
   /** Grows with every announcement of one boot. */
   readonly seq: number;
   readonly state: 'serving' | 'leaving';
   readonly temperature: Temperature;
-  /** Requests that the target may run at once now. */
+  /** Current concurrency limit of the target. */
   readonly limit: number;
   readonly outstanding: number;
   readonly queued: number;
-  /** For engines. */
+  /** Engines only. */
   readonly model?: string;
   readonly modelVersion?: string;
-  /** Group of ranks and place in it. */
+  /** For a rank: its group and position. */
   readonly group?: GroupMember;
-  /** Tokens in work and waiting, as the target last reported. */
+  /** Tokens of running and waiting requests, as the target last reported. */
   readonly tokensInWork?: number;
-  /** Milliseconds since the target made its last load report. */
+  /** Age of the target's last load report. */
   readonly loadAgeMs?: number;
-  /** Step time now over the usual one, at least 1; absent for 1. */
+  /** Current step time over the usual step time, at least 1; absent when 1. */
   readonly slowdown?: number;
-  /** Recently cached prompt prefixes, as short digests. */
+  /** Digests of recently cached prompt prefixes. */
   readonly prefixes?: readonly string[];
 }
 
-/** In place of an announcement that says what the last one said. */
+/** Sent in place of an announcement whose content has not changed. */
 export interface UnchangedAnnouncement {
   readonly targetId: string;
   readonly agentBootId: string;
   readonly seq: number;
 }
 
-/** What became of an announcement that the receiver holds. */
+/** Changes to an announcement that the receiver holds. */
 export interface AnnouncementUpdate {
   readonly targetId: string;
   readonly set: Partial<Announcement>;
-  /** Fields that are absent now. */
+  /** Fields that are now absent. */
   readonly unset?: readonly (keyof Announcement)[];
 }
 
@@ -78,43 +81,52 @@
   readonly added: readonly string[];
 }
 
-/** The way from one rule file to another. */
+/** A line diff between two rule files. */
 export interface RuleDiff {
   readonly fromRevision: number;
   readonly toRevision: number;
-  /** SHA-256 of the text to apply it to, hex. */
+  /** SHA-256 of the base text, hex. */
   readonly fromDigest: string;
-  /** SHA-256 of the text that must come out, hex. */
+  /** SHA-256 of the resulting text, hex. */
   readonly toDigest: string;
-  /** From the last line to the first, so that each leaves the rest in place. */
+  /**
+   * Ordered from the last line to the first, so that earlier line numbers stay
+   * valid.
+   */
   readonly changes: readonly LineChange[];
 }
 
-/** What an entry or agent asks every control instance, over and over. */
+/** Sent periodically by each entry and agent to every control instance. */
 export interface PollRequest {
   readonly processId: string;
   readonly role: 'entry' | 'agent';
   readonly bootId: string;
+  /** Revision of the rules that the process applies; 0 for none. */
   readonly heldRevision: number;
-  /** It may be told newer rules by their difference to those it holds. */
+  /** Whether newer rules may be sent as a diff to that revision. */
   readonly takesDiff?: boolean;
-  /** From agents: whole, or by number when only that grew. */
+  /** From agents: the whole announcement, or `unchanged` in its place. */
   readonly announcement?: Announcement;
   readonly unchanged?: UnchangedAnnouncement;
-  /** Membership version held from this very instance and boot. */
+  /**
+   * From entries: the member list that it holds from this boot of this
+   * instance.
+   */
   readonly membership?: {readonly bootId: string; readonly version: number};
-  /** Targets of each pool that the entry follows; all of them when absent. */
+  /** Number of targets per pool that the entry follows; absent for all. */
   readonly subset?: number;
-  /** Use counted since the start of this boot, from entries. */
+  /** From entries: totals since the start of this boot. */
   readonly usage?: readonly CustomerUsage[];
-  /** Only rows that changed; the instance holds the others. */
+  /** Whether `usage` has only the rows that the instance does not hold yet. */
   readonly usagePart?: boolean;
   readonly availabilityZone: string;
-  /** Milliseconds since its rules were last proven current, if ever. */
+  /**
+   * Age of the proof that its rules are current; absent without a valid proof.
+   */
   readonly provenAgeMs?: number;
 }
 
-/** Use by one customer, counted since the start of a boot. */
+/** Usage of one customer, counted since the start of a boot. */
 export interface CustomerUsage {
   readonly customer: string;
   readonly requests: number;
@@ -122,71 +134,75 @@
   readonly queueMs: number;
 }
 
-/** What a control instance answers to a poll, for itself alone. */
+/**
+ * Reply of one control instance to a poll; reports that instance's own state.
+ */
 export interface PollAnswer {
   readonly instanceId: string;
   readonly bootId: string;
-  /** Whether this instance votes; only voters count towards a proof. */
+  /** Whether this instance is a voter; only voters count towards a proof. */
   readonly voter: boolean;
   readonly voterCount: number;
   readonly term: number;
-  /** The leader of that term, where known. */
+  /** Leader of that term, if known. */
   readonly leaderId?: string;
   /**
-   * Highest revision anywhere in its log, committed or not. A process that
-   * hears from a majority of voters that none holds more than it does itself
-   * knows that nothing newer had been accepted when it asked.
+   * Highest revision in its log, committed or not. If none of a majority of
+   * voters has a higher revision than a process applies, nothing newer had been
+   * accepted when the process sent the oldest of those polls.
    */
   readonly lastRevision: number;
-  /** The committed rules, when newer than held. */
+  /** The committed rules, if newer than `heldRevision`. */
   readonly rules?: {readonly revision: number; readonly text: string};
-  /** The same as a difference, in place of `rules`. */
+  /** The same as a diff, in place of `rules`. */
   readonly rulesDiff?: RuleDiff;
   /**
-   * To agents: whether it lacks what was called unchanged. An instance that does
-   * not say is told everything whole.
+   * To agents: whether the instance lacks the announcement that was sent as
+   * unchanged. When absent, the agent always sends whole announcements.
    */
   readonly announceAgain?: boolean;
-  /** To a report of use: whether it lacks the rows that were not sent. */
+  /**
+   * To a usage report: whether the instance lacks the rows that were not sent.
+   */
   readonly usageAgain?: boolean;
   readonly members?: MembersAnswer;
 }
 
-/** Announcements changed since the held version; all, when `full`. */
+/** Announcements that changed since the held version; all of them if `full`. */
 export interface MembersAnswer {
   readonly version: number;
   readonly full?: boolean;
   readonly changed?: readonly Announcement[];
-  /** The same as `changed`, for those that the entry holds. */
+  /** Changed announcements of targets that the entry holds, as updates. */
   readonly updated?: readonly AnnouncementUpdate[];
   readonly removed?: readonly string[];
 }
 
-/** What an entry tells an agent about a request. */
+/** Sent by an entry to an agent with each request. */
 export interface Dispatch {
   readonly requestId: string;
   readonly entryId: string;
   readonly customer: string;
   readonly pool: string;
-  /** Revision of the entry's rules; an agent that holds less refuses. */
+  /** Revision of the entry's rules; an agent with an older one refuses. */
   readonly revision: number;
   readonly remainingMs: number;
   readonly attempt: number;
-  /** Estimated cost: prompt and expected output tokens, or 1 for a service. */
+  /** Estimated cost: prompt and expected output tokens; 1 for a service. */
   readonly cost: number;
   readonly idempotent: boolean;
-  /** The agent's boot that the entry chose; another boot refuses. */
+  /** The boot of the agent that the entry chose; another boot refuses. */
   readonly agentBootId: string;
-  /** For non-idempotent calls with a key. */
+  /** The claim of a non-idempotent call with a key. */
   readonly claim?: {readonly key: string; readonly attempt: number};
-  /** For a stream that goes on: tokens already delivered. */
+  /** For a resumed stream: number of tokens already delivered. */
   readonly resumeFrom?: number;
-  /** Whether the answer comes as a token stream. */
+  /** Whether the response is a token stream. */
   readonly stream?: boolean;
   readonly priority: number;
 }
 
-/** What the agent tells the entry beside every answer. */
+/** Sent by the agent with every response to a Dispatch. */
 export interface DispatchReport {
   readonly targetId: string;
   readonly agentBootId: string;
@@ -196,6 +212,6 @@
   readonly outstanding: number;
   readonly queued: number;
   readonly queuedMs: number;
-  /** Present when the agent refused; the target has then seen nothing. */
+  /** Present when the agent refused; the target then received nothing. */
   readonly refusal?: Refusal;
 }
--- a/src/sync/announced.ts
+++ b/src/sync/announced.ts
@@ -18,7 +18,9 @@
   private instanceBootId: string | undefined;
   private highestRepliedSeq = 0;
 
-  /** Returns the full announcement, or only its number when the rest is known. */
+  /**
+   * Returns the full announcement, or only its number when the rest is known.
+   */
   next(announcement: Announcement): SentAnnouncement {
     const {targetId, agentBootId, seq} = announcement;
     const content = comparableContent(announcement);
--- a/src/sync/controlSync.ts
+++ b/src/sync/controlSync.ts
@@ -50,7 +50,10 @@
   readonly subset?: number;
   readonly instances: readonly PeerClient[];
   readonly pollMs: number;
-  /** Age at which a proof that the rules are current expires; also the RPC timeout. */
+  /**
+   * Age at which a proof that the rules are current expires; also the RPC
+   * timeout.
+   */
   readonly proofMs: number;
   readonly report: () => SelfReport;
   readonly logger: Logger;
@@ -90,7 +93,8 @@
 
   start(): void {
     const {instances, pollMs} = this.options;
-    // One loop per instance, so that a silent instance does not delay the others.
+    // One loop per instance, so that a silent instance does not delay the
+    // others.
     const loops = instances.map((instance, i) =>
       timer((pollMs * i) / instances.length, pollMs).pipe(
         exhaustMap(() => defer(() => this.poll(instance)))
--- a/src/sync/targetDirectory.ts
+++ b/src/sync/targetDirectory.ts
@@ -66,7 +66,9 @@
       this.merged = undefined;
   }
 
-  /** What is held from an instance; the next poll asks for later changes only. */
+  /**
+   * What is held from an instance; the next poll asks for later changes only.
+   */
   heldFrom(
     instanceId: string
   ): {readonly bootId: string; readonly version: number} | undefined {
