--- a/tests/callersPage.spec.ts
+++ b/tests/callersPage.spec.ts
@@ -8,18 +8,21 @@
 
 const PAGE = 'CALLERS.md';
 
-/** Hands requests on to a port; stands for an entry before the targets. */
-async function forwarder(port: number): Promise<string> {
-  const {port: own} = await scripted((req, res) => {
+/** Starts a proxy to a port, in place of an entry; returns its URL. */
+async function startProxy(port: number): Promise<string> {
+  const {port: proxyPort} = await scripted((req, res) => {
     const {url, method, headers} = req;
-    const to = http.request({port, path: url, method, headers}, answer => {
-      res.writeHead(answer.statusCode ?? 500, answer.headers);
-      answer.on('error', () => res.destroy()).pipe(res);
-    });
-    to.on('error', () => res.destroy());
-    req.pipe(to);
+    const upstream = http.request(
+      {port, path: url, method, headers},
+      response => {
+        res.writeHead(response.statusCode ?? 500, response.headers);
+        response.on('error', () => res.destroy()).pipe(res);
+      }
+    );
+    upstream.on('error', () => res.destroy());
+    req.pipe(upstream);
   });
-  return `http://127.0.0.1:${own}`;
+  return `http://127.0.0.1:${proxyPort}`;
 }
 
 afterEach(closeTargets);
@@ -44,7 +47,7 @@
   it('should resend an assignment under one key of version 7', async () => {
     const ledger = await started(new FakeLedger());
     ledger.breakNext({kind: 'closeBeforeRead', times: 1});
-    const url = await forwarder(ledger.port);
+    const url = await startProxy(ledger.port);
     const printed = await runExample(exampleOf(PAGE, 'assign'), url);
     expect(printed).toMatchObject({
       status: 201,
@@ -57,9 +60,9 @@
     expect(ledger.runsByKey()).toEqual({[key!]: 1});
   });
 
-  it('should go on with a stream whose connection broke', async () => {
+  it('should resume a stream whose connection broke', async () => {
     const engine = await started(new FakeEngine({stepMs: 1}));
-    const url = await forwarder(engine.port);
+    const url = await startProxy(engine.port);
     const whole = await runExample(exampleOf(PAGE, 'stream'), url);
     engine.control({kind: 'cutAtToken', token: 11, times: 1});
     engine.control({kind: 'endAtToken', token: 23, times: 1});
--- a/tests/capacityRules.spec.ts
+++ b/tests/capacityRules.spec.ts
@@ -14,10 +14,10 @@
 };
 const THIRD = {revision: 3, text: rulesText({revision: 3})};
 
-/** One process against one control instance that answers as it is told. */
-class Polled {
-  readonly asked: PollRequest[] = [];
-  private answers: readonly Partial<PollAnswer>[] = [];
+/** An entry's ControlSync before one control instance with scripted replies. */
+class SyncHarness {
+  readonly polls: PollRequest[] = [];
+  private replies: readonly Partial<PollAnswer>[] = [];
 
   constructor(private readonly base: Partial<PollAnswer> = {}) {}
 
@@ -36,10 +36,10 @@
     metrics: new Metrics('entry-0'),
   });
 
-  /** Polls once for each answer; returns the text then in force. */
-  async poll(...answers: readonly Partial<PollAnswer>[]) {
-    this.answers = answers;
-    for (let i = 0; i < answers.length; i++) await this.sync.announceNow();
+  /** Polls once for each reply; returns the text of the rules then applied. */
+  async poll(...replies: readonly Partial<PollAnswer>[]) {
+    this.replies = replies;
+    for (let i = 0; i < replies.length; i++) await this.sync.announceNow();
     return this.sync.rules?.index.ruleSet.text;
   }
 
@@ -53,9 +53,9 @@
 
   private instance(): PeerClient {
     const call = async (_method: string, request: PollRequest) => {
-      this.asked.push(request);
-      const [next, ...rest] = this.answers;
-      this.answers = rest;
+      this.polls.push(request);
+      const [next, ...rest] = this.replies;
+      this.replies = rest;
       return {
         instanceId: 'control-0',
         bootId: 'control-boot-1',
@@ -72,97 +72,100 @@
   }
 }
 
-describe('rules by difference', () => {
-  it('should put the rules in force that the difference leads to', async () => {
+describe('rules sent as a diff', () => {
+  it('should apply the rules that result from the diff', async () => {
     const rulesDiff = diffRules(FIRST, SECOND);
-    const polled = new Polled();
-    expect(await polled.poll({rules: FIRST}, {rulesDiff})).toBe(SECOND.text);
-    expect(polled.asked[1]).toMatchObject({heldRevision: 1, takesDiff: true});
+    const harness = new SyncHarness();
+    expect(await harness.poll({rules: FIRST}, {rulesDiff})).toBe(SECOND.text);
+    expect(harness.polls[1]).toMatchObject({heldRevision: 1, takesDiff: true});
   });
 
-  it('should ask for the whole file when the difference does not lead there', async () => {
-    // Two control planes gave different files the number 1, as after the loss
-    // of every disk. The difference is to the other file; its lines would mix
-    // both files, and nobody would see it until a call went astray.
+  it('should ask for the whole file when the diff does not apply', async () => {
+    // Two files have revision 1, as can happen after the loss of every disk of
+    // control. The diff starts from the other file: applied anyway, it would
+    // mix the lines of both, unnoticed until a call was routed wrongly.
     const other = {
       revision: 1,
       text: rulesText({revision: 1, askedBy: 'Eoin'}),
     };
-    const polled = new Polled();
+    const harness = new SyncHarness();
     const rulesDiff = diffRules(other, SECOND);
-    expect(await polled.poll({rules: FIRST}, {rulesDiff})).toBe(FIRST.text);
-    expect(await polled.poll({rules: SECOND})).toBe(SECOND.text);
-    expect(polled.asked.map(({takesDiff}) => takesDiff)).toEqual([
+    expect(await harness.poll({rules: FIRST}, {rulesDiff})).toBe(FIRST.text);
+    expect(await harness.poll({rules: SECOND})).toBe(SECOND.text);
+    expect(harness.polls.map(({takesDiff}) => takesDiff)).toEqual([
       true,
       true,
       false,
     ]);
   });
 
-  it('should refuse a difference whose result has another digest', () => {
+  it('should reject a diff whose result has another digest', () => {
     const diff = diffRules(FIRST, SECOND);
-    const bent: RuleDiff = {
+    const corrupted: RuleDiff = {
       ...diff,
       changes: diff.changes.map(change => ({...change, added: []})),
     };
-    expect(applyDiff(FIRST, bent)).toBeUndefined();
+    expect(applyDiff(FIRST, corrupted)).toBeUndefined();
   });
 
-  it('should not go back by a difference that comes late', async () => {
-    const polled = new Polled();
+  it('should not return to an older revision by a late diff', async () => {
+    const harness = new SyncHarness();
     const rulesDiff = diffRules(FIRST, SECOND);
-    expect(await polled.poll({rules: FIRST}, {rules: THIRD}, {rulesDiff})).toBe(
-      THIRD.text
-    );
+    expect(
+      await harness.poll({rules: FIRST}, {rules: THIRD}, {rulesDiff})
+    ).toBe(THIRD.text);
   });
 });
 
-describe('use in polls', () => {
+describe('usage in polls', () => {
   beforeEach(() => jest.useFakeTimers());
   afterEach(() => jest.useRealTimers());
 
-  it('should be told every five seconds, and at once when the entry leaves', async () => {
-    const polled = new Polled();
-    polled.start();
+  it('should be reported every five seconds, and at once when the entry leaves', async () => {
+    const harness = new SyncHarness();
+    harness.start();
     await jest.advanceTimersByTimeAsync(4_900);
-    const told = () => polled.asked.filter(({usage}) => usage !== undefined);
-    expect(polled.asked).toHaveLength(10);
-    expect(told()).toHaveLength(1);
+    const reports = () =>
+      harness.polls.filter(({usage}) => usage !== undefined);
+    expect(harness.polls).toHaveLength(10);
+    expect(reports()).toHaveLength(1);
     await jest.advanceTimersByTimeAsync(200);
-    expect(told()).toHaveLength(2);
-    await polled.poll({});
-    expect(told()).toHaveLength(3);
-    polled.stop();
+    expect(reports()).toHaveLength(2);
+    await harness.poll({});
+    expect(reports()).toHaveLength(3);
+    harness.stop();
   });
 });
 
-describe('use in polls of an instance that does not lead', () => {
+describe('usage in polls of an instance that is not the leader', () => {
   beforeEach(() => jest.useFakeTimers());
   afterEach(() => jest.useRealTimers());
 
-  it('should be told when the entry leaves, and not before', async () => {
-    // The entry ends, and then the leader is lost before it has logged the last
-    // words. With nobody else told of them, the use would never be charged.
-    const polled = new Polled({leaderId: 'control-1'});
-    const told = () => polled.asked.filter(({usage}) => usage !== undefined);
-    polled.start();
+  it('should be reported when the entry leaves, and not before', async () => {
+    // The entry ends, and then the leader fails before it has logged the
+    // entry's final report. Sent to no other instance, that usage would never
+    // be charged.
+    const harness = new SyncHarness({leaderId: 'control-1'});
+    const reports = () =>
+      harness.polls.filter(({usage}) => usage !== undefined);
+    harness.start();
     await jest.advanceTimersByTimeAsync(11_000);
-    expect(told()).toHaveLength(1);
-    await polled.poll({});
-    expect(told()).toHaveLength(2);
-    polled.stop();
+    expect(reports()).toHaveLength(1);
+    await harness.poll({});
+    expect(reports()).toHaveLength(2);
+    harness.stop();
   });
 });
 
 describe('recent rules of a control instance', () => {
-  it('should lead from any kept file to the newest', () => {
+  it('should give a diff from any kept file to the newest', () => {
     const recent = new RecentRules();
     for (const file of [FIRST, SECOND, THIRD]) recent.note(file);
     const diff = recent.diffFrom(1);
     expect(diff && applyDiff(FIRST, diff)).toEqual(THIRD);
   });
 
-  it('should know no way from a file that it never had or no longer keeps', () => {
+  it('should give no diff from a file that it never had or no longer keeps', () => {
     const recent = new RecentRules();
     for (let revision = 2; revision <= 70; revision++)
       recent.note({revision, text: rulesText({revision})});
--- a/tests/freshness.spec.ts
+++ b/tests/freshness.spec.ts
@@ -1,6 +1,6 @@
 import {FreshnessProof, InstanceEvidence} from '../src/sync/freshness';
 
-const BOUND_MS = 2_500;
+const MAX_AGE_MS = 2_500;
 
 function answered(
   askedAtMs: number,
@@ -11,56 +11,56 @@
   return {kind: 'answered', askedAtMs, voter, voterCount, lastRevision};
 }
 
-function refused(askedAtMs: number): InstanceEvidence {
+function notRunning(askedAtMs: number): InstanceEvidence {
   return {kind: 'not running', askedAtMs};
 }
 
 function proofOf(instanceCount = 3): FreshnessProof {
-  const proof = new FreshnessProof(instanceCount, BOUND_MS);
+  const proof = new FreshnessProof(instanceCount, MAX_AGE_MS);
   proof.hold(1);
   return proof;
 }
 
 describe('proof of freshness', () => {
-  // Settings name one instance only, and that one is cut off from the two
-  // others, which accept a change. It says that it is one of three voters.
-  it('should not take one of three voters for a majority', () => {
+  // The settings name one instance only. It is partitioned from the two others,
+  // which accept a change, but it reports that there are three voters.
+  it('should not count one of three voters as a majority', () => {
     const proof = proofOf(1);
     proof.add('a', answered(100));
     expect(proof.judge(100).kind).toBe('unproven');
   });
 
-  it('should run out at the bound, counted from the older question', () => {
+  it('should expire at its maximum age, counted from the older poll', () => {
     const proof = proofOf();
     proof.add('a', answered(1_000));
     proof.add('b', answered(1_400));
-    expect(proof.judge(1_000 + BOUND_MS)).toEqual({
+    expect(proof.judge(1_000 + MAX_AGE_MS)).toEqual({
       kind: 'proven',
-      ageMs: BOUND_MS,
+      ageMs: MAX_AGE_MS,
     });
-    expect(proof.judge(1_001 + BOUND_MS).kind).toBe('unproven');
+    expect(proof.judge(1_001 + MAX_AGE_MS).kind).toBe('unproven');
   });
 
-  // Two instances are silent behind a cut and one refuses connections: the
-  // two may be accepting changes, so this is no outage of all control.
-  it('should not take silence for control being down', () => {
+  // Two instances are silent behind a network partition and one host refuses
+  // connections. The two may be accepting changes, so control is not down.
+  it('should not treat silence as control being down', () => {
     const proof = proofOf();
     proof.add('a', answered(0));
     proof.add('b', answered(0));
-    proof.add('c', refused(5_000));
+    proof.add('c', notRunning(5_000));
     expect(proof.judge(5_000).kind).toBe('unproven');
-    proof.add('b', refused(5_000));
+    proof.add('b', notRunning(5_000));
     expect(proof.judge(5_000).kind).toBe('control down');
   });
 
-  // Control is down, and rules that this process never got were accepted
-  // before: another process has shown their revision.
-  it('should not serve on by rules known to be replaced', () => {
+  // Control went down after it had accepted rules that this process never
+  // received. Another process has reported their revision.
+  it('should not keep serving by rules that are known to be replaced', () => {
     const proof = proofOf();
     proof.add('a', answered(0));
     proof.add('b', answered(0));
     proof.sawRevision(2);
-    for (const id of ['a', 'b', 'c']) proof.add(id, refused(5_000));
+    for (const id of ['a', 'b', 'c']) proof.add(id, notRunning(5_000));
     expect(proof.judge(5_000).kind).toBe('unproven');
   });
 
--- a/tests/headerJson.spec.ts
+++ b/tests/headerJson.spec.ts
@@ -2,7 +2,7 @@
 import {headerJson} from '../src/core/headerJson';
 
 describe('JSON in a header', () => {
-  it('should carry any text in characters that a header may hold', () => {
+  it('should encode any text in characters that are valid in a header', () => {
     const value = {customer: 'Zürich 北 \u007f\n', count: 1};
     const text = headerJson(value);
     expect(() =>
--- a/tests/metrics.spec.ts
+++ b/tests/metrics.spec.ts
@@ -7,9 +7,9 @@
 
 describe('metrics', () => {
   it('should send all counts, the last ones when it closes', async () => {
-    // A process counts, sends the growth now and then, and ends in between.
-    // What was counted since the last sending must not be lost, nor what was
-    // sent before be sent again: a dashboard would show too little or too much.
+    // A process sends the increases of its counters periodically and ends
+    // between two sends. Increases since the last send must not be lost, and
+    // those already sent must not be sent again, or dashboards show wrong totals.
     const sink = await CounterSink.start('request.answered');
     later(async () => sink.close());
     const metrics = new Metrics('entry-0', {
@@ -22,10 +22,10 @@
     count('200');
     count('200');
     count('503', 3);
-    await eventually('the first sending', async () => received() === 5);
+    await eventually('the first send', async () => received() === 5);
     count('200', 2);
     metrics.close();
-    await eventually('the last sending', async () => received() === 7);
+    await eventually('the last send', async () => received() === 7);
     expect(metrics.snapshot()).toEqual({
       'request.answered{customer=harbour,status=200}': 4,
       'request.answered{customer=harbour,status=503}': 3,
--- a/tests/progress.spec.ts
+++ b/tests/progress.spec.ts
@@ -12,10 +12,10 @@
     jest.useRealTimers();
   });
 
-  // A long stream loses its target after more than the pool's timeout. Held to
-  // the deadline of its first token, no other target would be tried, and the
-  // caller would be cut off although one could go on at the next token.
-  it('should give a stream that goes on elsewhere a deadline of its own', () => {
+  // A long stream loses its target after more than the pool's timeout. With the
+  // deadline of its first token still in effect, no other target would be tried
+  // and the stream would end, although another could resume it.
+  it('should give a resumed stream a new deadline', () => {
     const progress = new Progress(
       'r',
       performance.now() + TIMEOUT_MS,
