--- a/src/core/boundedOutput.ts
+++ b/src/core/boundedOutput.ts
@@ -10,9 +10,7 @@
 const MAX_PENDING_BYTES = 1 << 20;
 /** Lines are batched until a write has this size; a pipe holds 64 KiB. */
 const WRITE_BATCH_BYTES = 48 << 10;
-/**
- * Delay after a full pipe; a reader that is merely slow drains some meanwhile.
- */
+/** Delay after a full pipe; a merely slow reader drains some of it meanwhile. */
 const RETRY_DELAY_MS = 20;
 
 /** Queue of lines to write; lines that do not fit are dropped and counted. */
--- a/src/core/mapMessages.ts
+++ b/src/core/mapMessages.ts
@@ -35,7 +35,8 @@
 /**
  * Version of the nth switch under a fencing token. Two controllers never use
  * the same version, so that a delayed order of one is not mistaken for an
- * order of the other, even by engines that check the version only.
+ * order of the other, even by engines that check the version only. The ids of
+ * model orders are made in the same way.
  */
 export function versionOf(fence: number, nth: number): number {
   return fence * VERSIONS_PER_FENCE + nth;
@@ -96,13 +97,9 @@
 
 /** Why a rank gives no promise. */
 export type PromiseRefusal =
-  /**
-   * The rank knows a newer fencing token, or the version is already decided.
-   */
+  /** The rank knows a newer fencing token or a decision on this version. */
   | 'fenced'
-  /**
-   * The rank has not joined yet: since its start it knows no token and no map.
-   */
+  /** The rank has not joined since its start: it knows no token and no map. */
   | 'unready'
   /** An earlier switch is still in progress at this rank. */
   | 'busy'
@@ -126,9 +123,7 @@
   readonly kind: 'join';
   readonly group: string;
   readonly rank: number;
-  /**
-   * New at each attempt, so that a late reply to an earlier one is recognized.
-   */
+  /** New at each attempt, to recognize a late reply to an earlier one. */
   readonly attempt: string;
 }
 
@@ -147,9 +142,7 @@
   readonly previous?: CommittedMap;
 }
 
-/**
- * Rank to control, while it holds at the switch step: requests the decision.
- */
+/** Rank to control, while holding at the switch step: requests the decision. */
 export interface DecisionQuery extends SwitchId {
   readonly kind: 'decisionQuery';
   readonly rank: number;
--- a/src/core/promptPrefix.ts
+++ b/src/core/promptPrefix.ts
@@ -7,9 +7,7 @@
 
 /** Characters in one block; the last block of a message may be shorter. */
 export const BLOCK_CHARS = 1024;
-/**
- * Number of leading blocks that get a digest; the rest of a prompt is ignored.
- */
+/** Leading blocks that get a digest; the rest of a prompt is ignored. */
 export const MAX_BLOCKS = 32;
 const DIGEST_HEX_DIGITS = 16;
 const CHARS_PER_TOKEN = 4;
@@ -25,9 +23,7 @@
   return Math.ceil(text.length / CHARS_PER_TOKEN);
 }
 
-/**
- * Chained digests, shortest prefix first: each also covers all earlier blocks.
- */
+/** Chained digests, shortest prefix first: each covers all earlier blocks too. */
 export function prefixDigests(
   messages: readonly PromptMessage[]
 ): readonly string[] {
--- a/src/core/textSchemas.ts
+++ b/src/core/textSchemas.ts
@@ -59,10 +59,7 @@
   );
 }
 
-/**
- * Returns the range of a schema, including an optional one or one with a
- * default.
- */
+/** Returns the range of a schema, which may be optional or have a default. */
 export function rangeOf(schema: z.ZodType): string {
   if (schema instanceof z.ZodOptional || schema instanceof z.ZodDefault)
     return rangeOf(schema.unwrap() as z.ZodType);
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -60,8 +60,7 @@
     });
     destroyOnAbort(req, signal);
     req.on('socket', socket => {
-      // A reused connection can send bytes at once, even while the peer closes
-      // it.
+      // A reused connection may send bytes at once, even if the peer closes it.
       sent = !socket.connecting;
       if (sent) return;
       const ready = socket instanceof TLSSocket ? 'secureConnect' : 'connect';
@@ -73,9 +72,7 @@
   });
 }
 
-/**
- * Does what Node's `signal` option does, at a fraction of its cost per call.
- */
+/** Like Node's `signal` option, at a fraction of its cost per call. */
 function destroyOnAbort(req: http.ClientRequest, signal: CancelSignal): void {
   const destroy = () => {
     req.destroy(new Error('the call was cancelled'));
@@ -158,10 +155,7 @@
   return req.headers['transfer-encoding'] !== undefined;
 }
 
-/**
- * Aborts the connection, so that the reader cannot mistake the body for
- * complete.
- */
+/** Aborts the connection, lest the reader consider the body complete. */
 export function cutOff(sink: Writable): void {
   sink.destroy();
 }
--- a/src/sync/announced.ts
+++ b/src/sync/announced.ts
@@ -18,9 +18,7 @@
   private instanceBootId: string | undefined;
   private highestRepliedSeq = 0;
 
-  /**
-   * Returns the full announcement, or only its number when the rest is known.
-   */
+  /** Returns the whole announcement, or its number if the rest is unchanged. */
   next(announcement: Announcement): SentAnnouncement {
     const {targetId, agentBootId, seq} = announcement;
     const content = comparableContent(announcement);
@@ -34,7 +32,7 @@
   /**
    * Handles the reply to a poll. Two polls can be in flight at once, as when a
    * target leaves. A reply to the earlier poll that arrives last confirms
-   * nothing, since the instance may hold the content of either.
+   * nothing, since the instance holds the content of the later one.
    */
   answered(poll: SentAnnouncement, {bootId, announceAgain}: PollAnswer): void {
     const hasRestarted =
