--- a/tests/binary.spec.ts
+++ b/tests/binary.spec.ts
@@ -27,7 +27,7 @@
     'status',
     'explain',
     'usage',
-  ])('should explain %s', name => {
+  ])('should print the help of %s', name => {
     const {status, out} = run(name, '--help');
     expect(status).toBe(0);
     expect(out).toContain(`marlpulley ${name}`);
@@ -37,14 +37,17 @@
     ['an unknown subcommand', ['enter']],
     ['an unknown flag', ['entry', '--setings', SETTINGS]],
     ['no settings', ['entry']],
-    ['settings that are not there', ['entry', '--settings', '/nowhere.ini']],
-  ])('should refuse %s with code 2 and a reason', (_, args) => {
+    [
+      'a settings file that does not exist',
+      ['entry', '--settings', '/nowhere.ini'],
+    ],
+  ])('should reject %s with exit code 2 and a reason', (_, args) => {
     const {status, out} = run(...args);
     expect(status).toBe(2);
     expect(out.trim()).not.toBe('');
   });
 
-  it('should check settings without starting anything', () => {
+  it('should check settings without starting the role', () => {
     const good = run('entry', '--settings', SETTINGS, '--check-settings');
     expect(good.status).toBe(0);
     const bad = run('agent', '--settings', SETTINGS, '--check-settings');
--- a/tests/logSummary.spec.ts
+++ b/tests/logSummary.spec.ts
@@ -4,7 +4,7 @@
 
 const LIMITS = {firstEventMs: 401, pauseMs: 120};
 
-function line(
+function logLine(
   atMs: number,
   event: string,
   fields: Readonly<Record<string, unknown>> = {}
@@ -13,20 +13,21 @@
   const parsed = parseLogLine(
     JSON.stringify({event, time, processId: 'n1', ...fields})
   );
-  if (parsed === undefined) throw new Error('not a line');
+  if (parsed === undefined)
+    throw new Error(`cannot parse the log line of ${event}`);
   return parsed;
 }
 
-function answered(atMs: number, firstEventMs: number, longestGapMs: number) {
+function attemptLine(atMs: number, firstEventMs: number, longestGapMs: number) {
   const fields = {firstEventMs, longestGapMs, tookMs: 1_500};
   const end = {end: 'answered', service: 's'};
-  return line(atMs, 'request.attempt', {attemptId: 'a', ...end, ...fields});
+  return logLine(atMs, 'request.attempt', {attemptId: 'a', ...end, ...fields});
 }
 
 describe('summary of collected logs', () => {
-  it('should tell the late from those in time, and why they were late', () => {
+  it('should separate late requests from those in time, and say why they were late', () => {
     const rows = summarize(
-      [answered(9_000, 200, 90), answered(9_100, 200, 121)],
+      [attemptLine(9_000, 200, 90), attemptLine(9_100, 200, 121)],
       LIMITS
     );
     expect(rows.map(({outcome}) => outcome)).toEqual([
@@ -35,17 +36,18 @@
     ]);
   });
 
-  // Experts come into demand, a map is planned, and streams have a long pause
-  // before it is in force: the summary must lead from the one to the other.
+  // Expert demand shifts, a map is planned, and streams pause for too long until
+  // the map is active. The summary must name the map switch as the cause.
+  // Likewise for a stream that is late while its node has no leader.
   it('should name what was under way while a stream was late', () => {
     const rows = summarize(
       [
-        line(5_000, 'map.planned'),
-        answered(5_900, 200, 130),
-        line(20_000, 'leader.lost'),
-        line(20_500, 'leader.found'),
-        answered(21_000, 500, 90),
-        answered(40_000, 500, 90),
+        logLine(5_000, 'map.planned'),
+        attemptLine(5_900, 200, 130),
+        logLine(20_000, 'leader.lost'),
+        logLine(20_500, 'leader.found'),
+        attemptLine(21_000, 500, 90),
+        attemptLine(40_000, 500, 90),
       ],
       LIMITS
     );
@@ -60,21 +62,21 @@
     const refusal = {kind: 'overloaded', retryInMs: 200};
     const fields = {attemptId: 'b', refusal, service: 's'};
     const rows = summarize(
-      [line(50_000, 'request.refused', {...fields, boundBy: 'slowGroup'})],
+      [logLine(50_000, 'request.refused', {...fields, boundBy: 'slowGroup'})],
       LIMITS
     );
     expect(rows).toMatchObject([{service: 's', cause: 'limit: slowGroup'}]);
   });
 
-  it('should count refusals by their reason', () => {
+  it('should count refusals by reason and by cause', () => {
     const refusal = {kind: 'overloaded', retryInMs: 200};
     const fields = {attemptId: 'b', refusal, ageMs: 0};
     const rows = summarize(
       [
-        line(50_000, 'request.refused', fields),
-        line(50_010, 'request.refused', fields),
-        line(60_000, 'process.started'),
-        line(60_500, 'request.refused', fields),
+        logLine(50_000, 'request.refused', fields),
+        logLine(50_010, 'request.refused', fields),
+        logLine(60_000, 'process.started'),
+        logLine(60_500, 'request.refused', fields),
       ],
       LIMITS
     );
--- a/tests/operatorClient.spec.ts
+++ b/tests/operatorClient.spec.ts
@@ -26,13 +26,13 @@
 zone zone-b out # asked by Niall
 `;
 
-function indexOf(text: string): RuleIndex {
+function ruleIndexOf(text: string): RuleIndex {
   const result = parseRules(text);
   if (!result.ok) throw new Error(JSON.stringify(result.problems));
   return new RuleIndex(result.ruleSet);
 }
 
-function processAt(processId: string, heldRevision: number): ProcessStatus {
+function processStatus(processId: string, heldRevision: number): ProcessStatus {
   return {
     processId,
     role: 'entry',
@@ -43,7 +43,7 @@
   };
 }
 
-function statusOf(...processes: readonly ProcessStatus[]): ClusterStatus {
+function clusterStatus(...processes: readonly ProcessStatus[]): ClusterStatus {
   const nothing = {instances: [], targets: [], silent: []};
   return {...nothing, revision: 7, rulesText: RULES, processes};
 }
@@ -67,11 +67,11 @@
   return {...base, ...changes};
 }
 
-/** Gives the statuses one after another, the last one for ever. */
+/** Returns the statuses one after another, and the last one from then on. */
 class FakeControl implements ControlClient {
   constructor(
     private readonly answer: SubmitAnswer | Error,
-    private readonly statuses: ClusterStatus[] = [statusOf()]
+    private readonly statuses: ClusterStatus[] = [clusterStatus()]
   ) {}
 
   async submit(): Promise<SubmitAnswer> {
@@ -82,7 +82,8 @@
   async status(): Promise<ClusterStatus> {
     const [first] = this.statuses;
     if (this.statuses.length > 1) this.statuses.shift();
-    if (first === undefined) throw new Error('no status given');
+    if (first === undefined)
+      throw new Error('the fake has no status to return');
     return first;
   }
 
@@ -128,8 +129,8 @@
   ];
 
   it.each(cases)(
-    'should tell %j with exit code %i',
-    async (result, code, say) => {
+    'should describe %j and exit with code %i',
+    async (result, code, message) => {
       const lines: string[] = [];
       const exit = await submitAndFollow(
         new FakeControl(result),
@@ -138,22 +139,25 @@
         line => lines.push(line)
       );
       expect(exit).toBe(code);
-      expect(lines.join('\n')).toContain(say);
+      expect(lines.join('\n')).toContain(message);
     }
   );
 
   it.each([
     [true, 'may have been accepted; submit the same file again'],
     [false, 'nothing was sent'],
-  ])('should say what an unanswered file came to (%s)', async (may, say) => {
-    const err = new ControlUnavailableError('submit', [], may);
-    const lines: string[] = [];
-    const exit = await submitAndFollow(new FakeControl(err), RULES, 0, line =>
-      lines.push(line)
-    );
-    expect(exit).toBe(1);
-    expect(lines.join('\n')).toContain(say);
-  });
+  ])(
+    'should say whether a file without a reply may have been accepted (%s)',
+    async (mayHaveTakenEffect, message) => {
+      const err = new ControlUnavailableError('submit', [], mayHaveTakenEffect);
+      const lines: string[] = [];
+      const exit = await submitAndFollow(new FakeControl(err), RULES, 0, line =>
+        lines.push(line)
+      );
+      expect(exit).toBe(1);
+      expect(lines.join('\n')).toContain(message);
+    }
+  );
 });
 
 describe('following a revision', () => {
@@ -162,17 +166,20 @@
 
   async function follow(statuses: ClusterStatus[], waitMs: number) {
     const lines: string[] = [];
-    const client = new FakeControl(new Error('not submitted here'), statuses);
+    const client = new FakeControl(
+      new Error('submit is not expected in this test'),
+      statuses
+    );
     const done = followRollout(client, 7, waitMs, line => lines.push(line));
     await jest.advanceTimersByTimeAsync(waitMs + 1000);
     return {everywhere: await done, text: lines.join('\n')};
   }
 
-  it('should name each process once as it comes', async () => {
+  it('should name each process once when the revision is active on it', async () => {
     const {everywhere, text} = await follow(
       [
-        statusOf(processAt('e1', 7), processAt('e2', 6)),
-        statusOf(processAt('e1', 7), processAt('e2', 8)),
+        clusterStatus(processStatus('e1', 7), processStatus('e2', 6)),
+        clusterStatus(processStatus('e1', 7), processStatus('e2', 8)),
       ],
       5000
     );
@@ -185,24 +192,24 @@
     ]);
   });
 
-  it('should name laggards when the time is up', async () => {
+  it('should name processes that lag behind at the timeout', async () => {
     const {everywhere, text} = await follow(
-      [statusOf(processAt('e2', 6))],
+      [clusterStatus(processStatus('e2', 6))],
       900
     );
     expect(everywhere).toBe(false);
     expect(text).toContain('behind: entry e2 in zone-a holds 6');
   });
 
-  // The operator would read "in force on all processes" although one is cut
-  // off with the old rules: it is seen once with revision 6, then falls
-  // silent, and control drops it from its list after a few seconds. The
-  // follower remembers whom it saw, so the process stays on the page.
+  // Guards against reporting "in force on all processes" while a partitioned
+  // process still has the old rules: it reports revision 6 once, then falls
+  // silent, and control drops it from its status after a few seconds. The client
+  // remembers every process it has seen, so this one is still reported.
   it('should not count out a process that control forgot', async () => {
     const {everywhere, text} = await follow(
       [
-        statusOf(processAt('e1', 7), processAt('e2', 6)),
-        statusOf(processAt('e1', 7)),
+        clusterStatus(processStatus('e1', 7), processStatus('e2', 6)),
+        clusterStatus(processStatus('e1', 7)),
       ],
       900
     );
@@ -212,9 +219,9 @@
 });
 
 describe('merged status', () => {
-  // The page would show an old revision and a target that has left: an
-  // instance that was cut off silently still answers the operator with what
-  // it knew. The latest word on each process and target counts instead.
+  // Guards against showing an old revision and a target that has left: a
+  // partitioned instance still replies to the client with its old state. The
+  // latest state of each process and target must be shown instead.
   it('should not let a cut-off instance hide what the others know', () => {
     const instance = {
       instanceId: 'c1',
@@ -228,14 +235,14 @@
       instance,
       revision: 6,
       rulesText: 'old',
-      processes: [{...processAt('e1', 6), pollAgeMs: 2900}],
+      processes: [{...processStatus('e1', 6), pollAgeMs: 2900}],
       targets: [target('t1', {seq: 8})],
     };
     const current = {
       instance,
       revision: 7,
       rulesText: RULES,
-      processes: [processAt('e1', 7)],
+      processes: [processStatus('e1', 7)],
       targets: [leaving],
     };
     const silent = [{id: 'c3', reason: 'timeout'}];
@@ -251,10 +258,10 @@
   });
 });
 
-describe('pages of the client', () => {
-  it('should show who is behind and which instance is silent', () => {
+describe('output of the client', () => {
+  it('should show which process is behind and which instance is silent', () => {
     const status = {
-      ...statusOf(processAt('e1', 7), processAt('e2', 6)),
+      ...clusterStatus(processStatus('e1', 7), processStatus('e2', 6)),
       targets: [target('t1', {outstanding: 3, queued: 2, model: 'm'})],
       silent: [{id: 'c3', reason: 'timeout: no answer'}],
     };
@@ -266,7 +273,7 @@
     expect(text).toContain('c3 gave no answer: timeout');
   });
 
-  it('should show the largest user first, with its part of all tokens', () => {
+  it('should list customers by tokens used, with their share of all tokens', () => {
     const lines = formatUsage([
       {customer: 'depot', requests: 0, tokens: 0, queueMs: 0},
       {customer: 'sligo', requests: 2, tokens: 100, queueMs: 5},
@@ -281,10 +288,10 @@
 });
 
 describe('explain', () => {
-  const index = indexOf(RULES);
+  const index = ruleIndexOf(RULES);
   const query = {customer: 'harbour', method: 'POST', path: '/v1/chat'};
 
-  it('should name the lines and the fitness of each target', () => {
+  it('should name the rule lines and whether each target is eligible', () => {
     const targets = [
       target('t1', {}),
       target('t2', {availabilityZone: 'zone-b'}),
@@ -305,16 +312,16 @@
     [{customer: 'nobody'}, 'unknown-customer'],
     [{customer: 'depot', path: '/assign'}, 'no-route'],
     [{path: '/v1/chat'}, 'no-target'],
-  ])('should foresee the refusal of %j', (changes, reason) => {
-    const asked = {...query, ...changes};
-    const {lines, refusal} = explainRequest(index, [], asked);
+  ])('should predict the refusal of %j', (changes, reason) => {
+    const request = {...query, ...changes};
+    const {lines, refusal} = explainRequest(index, [], request);
     expect(refusal).toBe(reason);
     expect(lines.at(-1)).toContain(`refused: ${reason}`);
   });
 
-  it('should find a call not idempotent however its path is spelled', () => {
-    const asked = {...query, path: '//x/../%61ssign?box=4'};
-    const {lines} = explainRequest(index, undefined, asked);
+  it('should recognize a non-idempotent call however its path is spelled', () => {
+    const request = {...query, path: '//x/../%61ssign?box=4'};
+    const {lines} = explainRequest(index, undefined, request);
     expect(lines.join('\n')).toContain('not idempotent by line 8');
   });
 });
@@ -343,12 +350,12 @@
     return runCheck([file]);
   }
 
-  it('should pass a good file', async () => {
+  it('should accept a valid file', async () => {
     expect(await check(RULES)).toBe(0);
     expect(printed).toContain('revision 7, 9 rules, no faults');
   });
 
-  it('should print each fault where an editor can jump to it', async () => {
+  it('should print each error with its line and column', async () => {
     expect(await check(`${RULES}zone zone-c off # asked by Una\n`)).toBe(2);
     expect(printed).toContain('site.rules:10:13: state must be one of');
     expect(printed).toContain('1 fault; nothing was applied');
--- a/tests/rpcControlClient.spec.ts
+++ b/tests/rpcControlClient.spec.ts
@@ -6,7 +6,7 @@
 import {PeerServer, RPC_CODES, RpcFailure} from '../src/rpc/peerServer';
 
 const SECRET = '0123456789abcdef';
-const ANY = z.unknown();
+const ANY_PARAMS = z.unknown();
 
 type Handler = (params: unknown) => unknown;
 
@@ -25,7 +25,7 @@
     targets: [],
   };
 
-  async function instance(
+  async function startInstance(
     handler: Handler,
     status: Handler = () => follower
   ): Promise<number> {
@@ -36,19 +36,19 @@
       logger: createLogger('control', 'c', 'fatal'),
       metrics: new Metrics('c'),
     });
-    server.addMethod('submit', {params: ANY, handle: handler});
-    server.addMethod('status', {params: ANY, handle: status});
+    server.addMethod('submit', {params: ANY_PARAMS, handle: handler});
+    server.addMethod('status', {params: ANY_PARAMS, handle: status});
     servers.push(server);
     return server.listen();
   }
 
-  async function stoppedInstance(): Promise<number> {
-    const port = await instance(() => null);
+  async function stoppedInstancePort(): Promise<number> {
+    const port = await startInstance(() => null);
     await servers.pop()?.close();
     return port;
   }
 
-  function clientOf(...ports: readonly number[]): RpcControlClient {
+  function createClient(...ports: readonly number[]): RpcControlClient {
     const instances = ports.map((port, index) => ({
       id: `c${index + 1}`,
       host: '127.0.0.1',
@@ -63,122 +63,125 @@
     return client;
   }
 
-  function unavailable(
+  function unavailableError(
     call: Promise<unknown>
   ): Promise<ControlUnavailableError> {
     return call.then(
-      () => Promise.reject(new Error('answered')),
+      () => Promise.reject(new Error('the call succeeded')),
       (err: ControlUnavailableError) => err
     );
   }
 
   const accepted = {kind: 'accepted', revision: 4, resent: false};
   const notLeader = () => {
-    throw new RpcFailure(RPC_CODES.notLeader, 'ask c3');
+    throw new RpcFailure(RPC_CODES.notLeader, 'the leader is c3');
   };
 
-  it('should go on to the instance that leads', async () => {
-    const client = clientOf(
-      await stoppedInstance(),
-      await instance(notLeader),
-      await instance(() => accepted)
+  it('should continue with the instance that leads', async () => {
+    const client = createClient(
+      await stoppedInstancePort(),
+      await startInstance(notLeader),
+      await startInstance(() => accepted)
     );
     expect(await client.submit('text')).toEqual(accepted);
   });
 
-  // The operator sees one accepted revision, not a conflict with himself: the
-  // first instance takes the file, its answer is lost, and the client sends
-  // the same text to the next. The same revision and text make it a resend.
-  it('should send the same text again after a lost answer', async () => {
-    const taken: unknown[] = [];
-    const client = clientOf(
-      await instance(params => {
-        taken.push(params);
+  // Guards against an operator conflicting with their own submission: the first
+  // instance accepts the file, its reply is lost, and the client sends the same
+  // text to the next. The same revision and text make it a resend.
+  it('should send the same text again after a lost reply', async () => {
+    const received: unknown[] = [];
+    const client = createClient(
+      await startInstance(params => {
+        received.push(params);
         return new Promise(() => undefined);
       }),
-      await instance(params => {
-        taken.push(params);
+      await startInstance(params => {
+        received.push(params);
         return {...accepted, resent: true};
       })
     );
     expect(await client.submit('text')).toMatchObject({resent: true});
-    expect(taken).toEqual([{text: 'text'}, {text: 'text'}]);
+    expect(received).toEqual([{text: 'text'}, {text: 'text'}]);
   });
 
-  it('should know when nothing can have been taken', async () => {
-    const client = clientOf(await stoppedInstance(), await instance(notLeader));
-    const err = await unavailable(client.submit('text'));
+  it('should report when no instance can have accepted the file', async () => {
+    const client = createClient(
+      await stoppedInstancePort(),
+      await startInstance(notLeader)
+    );
+    const err = await unavailableError(client.submit('text'));
     expect(err.mayHaveTakenEffect).toBe(false);
     expect(err.message).toContain('c1: ');
     expect(err.message).toContain('c2: ');
   });
 
-  it('should own up when the file may have been taken', async () => {
-    const silent = await instance(() => new Promise(() => undefined));
-    const err = await unavailable(clientOf(silent).submit('text'));
+  it('should report that the file may have been accepted', async () => {
+    const silent = await startInstance(() => new Promise(() => undefined));
+    const err = await unavailableError(createClient(silent).submit('text'));
     expect(err.mayHaveTakenEffect).toBe(true);
   });
 
-  it('should not try on when the file itself is refused', async () => {
+  it('should not retry when the file itself is rejected', async () => {
     const invalid = () => {
       throw new RpcFailure(RPC_CODES.invalidParams, 'line 3: no');
     };
-    const client = clientOf(
-      await instance(invalid),
-      await instance(() => accepted)
+    const client = createClient(
+      await startInstance(invalid),
+      await startInstance(() => accepted)
     );
     await expect(client.submit('text')).rejects.toThrow('line 3: no');
   });
 
-  // An operator would wait out the whole timeout for each file: the leader
-  // freezes, no other leads yet, and the client asks the frozen one, which the
-  // settings name first. It is left out until an election has had its time.
+  // Guards against waiting the whole timeout for each file: the leader is frozen,
+  // no other leads yet, and the client calls the frozen one, which is first in
+  // the settings. It must be skipped until an election had time to finish.
   it('should not wait for a frozen instance', async () => {
-    let asked = false;
+    let called = false;
     const frozen = () => {
-      asked = true;
+      called = true;
       return new Promise(() => undefined);
     };
-    const client = clientOf(
-      await instance(frozen, () => new Promise(() => undefined)),
-      await instance(notLeader),
-      await instance(notLeader)
+    const client = createClient(
+      await startInstance(frozen, () => new Promise(() => undefined)),
+      await startInstance(notLeader),
+      await startInstance(notLeader)
     );
-    const err = await unavailable(client.submit('text'));
-    expect(asked).toBe(false);
+    const err = await unavailableError(client.submit('text'));
+    expect(called).toBe(false);
     expect(err.mayHaveTakenEffect).toBe(false);
     expect(err.silent.map(item => item.id).sort()).toEqual(['c1', 'c2', 'c3']);
   });
 
-  it('should ask the leader first', async () => {
-    const asked: string[] = [];
+  it('should call the leader first', async () => {
+    const called: string[] = [];
     const leader = {...follower, instance: {role: 'leader'}};
-    const client = clientOf(
-      await instance(() => asked.push('follower')),
-      await instance(
-        () => asked.push('leader'),
+    const client = createClient(
+      await startInstance(() => called.push('follower')),
+      await startInstance(
+        () => called.push('leader'),
         () => leader
       )
     );
     await client.submit('text');
-    expect(asked).toEqual(['leader']);
+    expect(called).toEqual(['leader']);
   });
 
   it('should take a failure after the proposal for an open outcome', async () => {
     const lost = () => {
       throw new Error('leadership ended before the outcome was known');
     };
-    const err = await unavailable(
-      clientOf(await instance(lost)).submit('text')
+    const err = await unavailableError(
+      createClient(await startInstance(lost)).submit('text')
     );
     expect(err.mayHaveTakenEffect).toBe(true);
     expect(err.message).toContain('leadership ended');
   });
 
-  it('should show the status of those that answer and name the rest', async () => {
-    const client = clientOf(
-      await stoppedInstance(),
-      await instance(() => accepted)
+  it('should show the status of those that reply and name the rest', async () => {
+    const client = createClient(
+      await stoppedInstancePort(),
+      await startInstance(() => accepted)
     );
     const status = await client.status();
     expect(status.revision).toBe(4);
