--- a/tests/processes/onceCalls.spec.ts
+++ b/tests/processes/onceCalls.spec.ts
@@ -8,16 +8,16 @@
 }, 60_000);
 afterAll(() => system.stop());
 
-const FAULTS = [
-  {kind: 'closeAfterRun', runs: 1, first: 'outcome-unknown'},
-  {kind: 'truncate', runs: 1, first: 'outcome-unknown'},
-  {kind: 'closeBeforeRead', runs: 0, first: 'outcome-unknown'},
-  {kind: 'answerLate', runs: 1, first: ''},
-  {kind: 'refuse', runs: 0, first: ''},
+const LEDGER_FAULTS = [
+  {kind: 'closeAfterRun', expectedRuns: 1, firstReason: 'outcome-unknown'},
+  {kind: 'truncate', expectedRuns: 1, firstReason: 'outcome-unknown'},
+  {kind: 'closeBeforeRead', expectedRuns: 0, firstReason: 'outcome-unknown'},
+  {kind: 'answerLate', expectedRuns: 1, firstReason: ''},
+  {kind: 'refuse', expectedRuns: 0, firstReason: ''},
 ] as const;
 
-/** Starts an assignment that the ledger works on for long. */
-async function startSlow(entry: number, key: string) {
+/** Starts an assignment that takes the ledger 1.5 s; resolves once it runs. */
+async function startSlowAssignment(entry: number, key: string) {
   await system.breakLedgers({
     kind: 'answerLate',
     path: '/assign',
@@ -25,7 +25,7 @@
     times: 1,
   });
   const answer = assign(system.port(entry), key, 9).catch(() => undefined);
-  const state = async () => {
+  const findRunning = async () => {
     for (const target of system.deployment.targets) {
       if (target.pool !== 'allocation') continue;
       const {runsByKey} = await system.fake(target.fakePort, 'state');
@@ -33,14 +33,16 @@
     }
     return undefined;
   };
-  return {answer, targetId: await eventually('the run has begun', state)};
+  return {answer, targetId: await eventually('the run has begun', findRunning)};
 }
 
-/** A fault stands at both ledgers, and the call met only one of them. */
+/**
+ * Clears the fault, which was set at both ledgers and triggered at only one.
+ */
 async function clearFaults(): Promise<void> {
-  const direct = {method: 'POST', body: '{}'};
+  const directCall = {method: 'POST', body: '{}'};
   for (const port of system.fakePorts('allocation'))
-    await fetch(`http://127.0.0.1:${port}/assign`, direct).catch(
+    await fetch(`http://127.0.0.1:${port}/assign`, directCall).catch(
       () => undefined
     );
   await eventually('both ledgers serve', async () => {
@@ -51,22 +53,22 @@
 }
 
 describe('calls that may run at most once', () => {
-  // The ledger fails in the middle of an assignment, in each way that it can.
-  // The caller sends again through the other entry, twice. It may hear the
-  // answer, or that nobody knows; it never causes a second run, and is never
-  // told "not run" of something that ran.
-  it.each(FAULTS)(
+  // The ledger fails during an assignment, in each way that it can. The caller
+  // sends it again through the other entry and once more through the first. It
+  // may get the response or "outcome unknown", but a resend never causes a second
+  // run, and a call that ran is never reported as "not run".
+  it.each(LEDGER_FAULTS)(
     'should run no call twice when the ledger does $kind',
-    async ({kind, runs, first}) => {
+    async ({kind, expectedRuns, firstReason}) => {
       const key = newKey();
       await system.breakLedgers({kind, path: '/assign', ms: 300, times: 1});
       const answers = [];
       for (const entry of [0, 1, 0])
         answers.push(await assign(system.port(entry), key, 8));
-      expect(answers[0]!.reason).toBe(first);
-      expect(await system.ledgerRuns(key)).toBe(runs);
-      const claimsNotRun = answers.filter(one => one.outcome === 'not run');
-      expect(claimsNotRun).toEqual([]);
+      expect(answers[0]!.reason).toBe(firstReason);
+      expect(await system.ledgerRuns(key)).toBe(expectedRuns);
+      const claimedNotRun = answers.filter(one => one.outcome === 'not run');
+      expect(claimedNotRun).toEqual([]);
       const bodies = answers.map(one => one.reason || one.body);
       expect(new Set(bodies).size).toBe(1);
       await clearFaults();
@@ -74,12 +76,12 @@
     30_000
   );
 
-  // The agent dies while its target works. Nobody else can say what became of
-  // the call, so every resend, also after the agent is back as a new boot,
-  // gets "outcome unknown" and the ledger sees one run.
+  // The agent is killed while its target processes the call. No other process
+  // knows the outcome, so every resend gets "outcome unknown", also after the
+  // agent has restarted with a new boot id, and the ledger runs the call once.
   it('should say that the outcome is unknown when the agent is killed', async () => {
     const key = newKey();
-    const {answer, targetId} = await startSlow(0, key);
+    const {answer, targetId} = await startSlowAssignment(0, key);
     await system.deployment.child(`agent-${targetId}`).end('SIGKILL');
     expect((await answer)?.outcome).toBe('outcome unknown');
     await system.deployment.restart(`agent-${targetId}`);
@@ -93,11 +95,12 @@
     await clearFaults();
   }, 45_000);
 
-  // The entry dies after the claim, with the call at the target. The agent
-  // still hears the answer; a resend through the other entry gets it.
+  // The entry is killed after it has claimed the key, while the target processes
+  // the call. The agent still receives the response, and a resend through the
+  // other entry gets it.
   it('should give the answer to a resend when the entry is killed', async () => {
     const key = newKey();
-    const {answer} = await startSlow(0, key);
+    const {answer} = await startSlowAssignment(0, key);
     await system.deployment.child('entry-0').end('SIGKILL');
     expect(await answer).toBeUndefined();
     const again = await eventually('the recorded answer', async () => {
@@ -111,8 +114,8 @@
     await clearFaults();
   }, 45_000);
 
-  // Two entries get the same key at the same moment, several times over, as a
-  // balancer that repeats requests would send them.
+  // Both entries receive the same key several times at once, as from a load
+  // balancer in front of them that repeats requests.
   it('should run one of many sendings at once', async () => {
     const key = newKey();
     const answers = await Promise.all(
--- a/tests/processes/partition.spec.ts
+++ b/tests/processes/partition.spec.ts
@@ -1,17 +1,17 @@
 import {assign, chat, newKey} from '../../bench/deployment/callers';
 import {TestSystem, eventually} from '../fixtures/system';
 
-const ISLAND = ['control-0', 'entry-0', 'agent-planner-0'];
-const MAINLAND = ['entry-1', 'agent-planner-1', 'agent-planner-2'];
+const ISOLATED_PROCESSES = ['control-0', 'entry-0', 'agent-planner-0'];
+const OTHER_PROCESSES = ['entry-1', 'agent-planner-1', 'agent-planner-2'];
 
 let system: TestSystem;
 
 beforeAll(async () => {
-  system = await TestSystem.start({island: ISLAND});
+  system = await TestSystem.start({island: ISOLATED_PROCESSES});
 }, 60_000);
 afterAll(() => system.stop());
 
-function refusesUnproven(entry: number): Promise<unknown> {
+function waitForUnprovenRefusal(entry: number): Promise<unknown> {
   return eventually(`entry ${entry} refuses`, async () => {
     const {status, reason, outcome} = await chat(
       system.port(entry),
@@ -25,25 +25,28 @@
   });
 }
 
-/** Control of the other side only: the client reaches all directly. */
-async function healed(): Promise<void> {
+/**
+ * Ends the cut and waits until all processes hold the latest revision and entry
+ * 0 serves.
+ */
+async function healAndWait(): Promise<void> {
   system.deployment.heal();
   await system.inForce();
   await system.serving(0);
 }
 
 describe('a control instance that is silently cut off', () => {
-  // One control instance, an entry and an agent can reach only each other.
-  // Meanwhile a zone goes out on the other side. The instance still answers
-  // with the old rules; an entry that believed one instance alone would go on
+  // A control instance, an entry and an agent can reach only each other.
+  // Meanwhile a zone is taken out by the majority. The isolated instance still
+  // serves the old rules; an entry that trusted one instance alone would keep
   // sending work into the zone for as long as the cut lasts.
   it('should stop new work of an entry and an agent that know only it', async () => {
     system.deployment.cut();
     expect(await system.submit({zonesOut: ['zone-a']})).toMatchObject({
       kind: 'accepted',
     });
-    await system.inForce(system.revision, MAINLAND);
-    await refusesUnproven(0);
+    await system.inForce(system.revision, OTHER_PROCESSES);
+    await waitForUnprovenRefusal(0);
     const answers = await Promise.all(
       Array.from({length: 8}, (_, i) =>
         chat(system.port(1), `mainland ${i}`, 1, false)
@@ -52,7 +55,7 @@
     const targets = new Set(answers.map(answer => answer.target));
     for (const target of ['planner-0', 'planner-2'])
       expect(targets).not.toContain(target);
-    await healed();
+    await healAndWait();
     const {processes} = await system.status();
     expect(processes.map(one => one.heldRevision)).toEqual(
       processes.map(() => system.revision)
@@ -61,24 +64,24 @@
     await system.inForce();
   }, 45_000);
 
-  // Questions go out, answers do not come back, or the other way round. Either
-  // way nothing is proven, so new work stops; the rest of the system goes on,
-  // and operators are still answered.
+  // Requests get through and replies do not, or the other way round. Either way
+  // the entry cannot prove that its rules are current, so it stops new work. The
+  // rest of the system goes on, and operators can still submit rules.
   it.each(['to server', 'to client'] as const)(
     'should stop new work when nothing comes through %s',
     async direction => {
       system.deployment.cut(direction);
-      await refusesUnproven(0);
+      await waitForUnprovenRefusal(0);
       expect(await system.submit()).toMatchObject({kind: 'accepted'});
       const answer = await chat(system.port(1), 'one way', 1, false);
       expect({...answer}).toEqual({...answer, status: 200});
-      await healed();
+      await healAndWait();
     },
     45_000
   );
 
-  // A call that runs at most once is claimed through the cut-off entry: no
-  // quorum can be reached, so it is refused, and that refusal must be true.
+  // A call that may run at most once is claimed through the isolated entry. No
+  // quorum can be reached, so it is refused as "not run", and it must not run.
   it('should refuse a claim that no quorum can agree on, and not run it', async () => {
     const key = newKey();
     system.deployment.cut();
@@ -87,8 +90,8 @@
     expect(await system.ledgerRuns(key)).toBe(0);
     const served = await assign(system.port(1), key, 5);
     expect(served.status).toBe(201);
-    await healed();
-    // Even while the entry knows no service yet: the record of the key speaks.
+    await healAndWait();
+    // The recorded response is returned even while the entry knows no service.
     const again = await assign(system.port(0), key, 5);
     expect([again.status, again.body]).toEqual([201, served.body]);
     expect(await system.ledgerRuns(key)).toBe(1);
--- a/tests/processes/soak.spec.ts
+++ b/tests/processes/soak.spec.ts
@@ -2,24 +2,31 @@
 import {once} from 'node:events';
 import path from 'node:path';
 
-const SOAK = path.join(__dirname, '..', '..', 'dist', 'soak.cjs');
+const SOAK_PROGRAM = path.join(__dirname, '..', '..', 'dist', 'soak.cjs');
 
-async function soak(seed: number, seconds: number): Promise<string> {
-  const args = [SOAK, '--seed', String(seed), '--seconds', String(seconds)];
+async function runSoak(seed: number, seconds: number): Promise<string> {
+  const args = [
+    SOAK_PROGRAM,
+    '--seed',
+    String(seed),
+    '--seconds',
+    String(seconds),
+  ];
   const child = spawn(process.execPath, args, {
     stdio: ['ignore', 'pipe', 'inherit'],
   });
-  let text = '';
-  child.stdout.on('data', chunk => (text += String(chunk)));
+  let output = '';
+  child.stdout.on('data', chunk => (output += String(chunk)));
   await once(child, 'exit');
-  return text;
+  return output;
 }
 
 describe('soak of nodes', () => {
-  // Nodes are killed, frozen, stopped and all killed at once, in series, while
-  // callers and an operator go on. No call that may run once ran twice, none
-  // that was refused ran, and no document is older than one acknowledged.
+  // Nodes are killed, frozen, stopped and all killed at once, one fault after
+  // another, while callers and an operator continue. Checks that no at-most-once
+  // call ran twice, no refused call ran, and no node has a site document older
+  // than an acknowledged one.
   it('should keep its promises under a short series of faults', async () => {
-    expect(await soak(3, 5)).toMatch(/seed 3: .* 0 violations: held\n$/);
+    expect(await runSoak(3, 5)).toMatch(/seed 3: .* 0 violations: held\n$/);
   }, 90_000);
 });
--- a/tests/processes/twoFaults.spec.ts
+++ b/tests/processes/twoFaults.spec.ts
@@ -11,7 +11,7 @@
 import {openStream} from '../fixtures/openStream';
 import {TestSystem, eventually} from '../fixtures/system';
 
-const LONG = 400;
+const STREAM_TOKENS = 400;
 
 let system: TestSystem;
 
@@ -24,16 +24,21 @@
 const MAX_STREAMS = 32;
 
 /**
- * Streams of one entry, of which one at least is at each engine. Several are
- * opened until it is so: no even spread of a few streams is promised.
+ * Opens streams through one entry until each engine has at least one. A few
+ * streams need not spread evenly over the engines, so more are opened as needed.
  */
-async function streamsEverywhere(entry: number) {
+async function openStreamsAtAllEngines(entry: number) {
   const streams: Awaited<ReturnType<typeof openStream>>[] = [];
   const targets = () => new Set(streams.map(stream => stream.targetId));
-  const isShort = () => streams.length < MIN_STREAMS || targets().size < 4;
-  while (isShort() && streams.length < MAX_STREAMS) {
+  const needsMoreStreams = () =>
+    streams.length < MIN_STREAMS || targets().size < 4;
+  while (needsMoreStreams() && streams.length < MAX_STREAMS) {
     const more = Array.from({length: MIN_STREAMS}, (_, i) =>
-      openStream(system.port(entry), `stream ${streams.length + i}`, LONG)
+      openStream(
+        system.port(entry),
+        `stream ${streams.length + i}`,
+        STREAM_TOKENS
+      )
     );
     streams.push(...(await Promise.all(more)));
   }
@@ -41,13 +46,17 @@
   return streams;
 }
 
-function cutFrom(name: string, servers: string, direction: CutDirection) {
-  const isMeant = (from: string, to: string) =>
-    from === name && to.startsWith(servers);
-  system.deployment.links.cut(isMeant, direction);
+/** Cuts the links from one process to the servers with a name prefix. */
+function cutFrom(name: string, serverPrefix: string, direction: CutDirection) {
+  const isCut = (from: string, to: string) =>
+    from === name && to.startsWith(serverPrefix);
+  system.deployment.links.cut(isCut, direction);
 }
 
-async function back(...names: readonly string[]): Promise<void> {
+/**
+ * Restarts processes; waits for a new revision and for all targets to serve.
+ */
+async function restartAndWait(...names: readonly string[]): Promise<void> {
   await Promise.all(names.map(name => system.deployment.restart(name)));
   await system.submit();
   await system.inForce();
@@ -61,24 +70,26 @@
 }
 
 describe('a cut between an entry and an agent', () => {
-  // The link goes silent with streams in work: no byte and no error comes. The
-  // callers see a pause; the entry takes the stall for a loss and another
-  // target goes on at the very next token. Where only the way to the agent is
-  // silent, tokens go on coming and nobody notices.
+  // The links go silent during streams: neither bytes nor errors arrive. The
+  // callers see a pause; the entry treats the stall as a lost target, and another
+  // target resumes at the next token. Where only the direction to the agent is
+  // silent, tokens keep arriving and the callers notice nothing.
   it('should give every token once with links silent both ways and one way', async () => {
-    const streams = await Promise.all([0, 1].map(streamsEverywhere));
+    const streams = await Promise.all([0, 1].map(openStreamsAtAllEngines));
     cutFrom('entry-0', 'agent-planner-1', 'both');
     cutFrom('entry-0', 'agent-planner-2', 'to server');
     cutFrom('entry-1', 'agent-planner-3', 'to client');
     const ends = await Promise.all(streams.flat().map(stream => stream.end()));
-    const inexact = ends.filter(({text}) => !isExactStream(text, LONG));
+    const inexact = ends.filter(
+      ({text}) => !isExactStream(text, STREAM_TOKENS)
+    );
     expect(inexact).toEqual([]);
     system.deployment.links.heal();
   }, 45_000);
 
-  // An assignment runs and its answer is lost on the silent way back. Nobody
-  // may run it again; a resend through the other entry, which still reaches
-  // the agent, gets the recorded answer.
+  // An assignment runs, and its response is lost on the link back to the entry.
+  // It must not run again; a resend through the other entry, which still reaches
+  // the agent, gets the recorded response.
   it('should run an assignment once when its answer is lost in the cut', async () => {
     const key = newKey();
     const slow = {kind: 'answerLate', path: '/assign', ms: 500, times: 1};
@@ -98,10 +109,10 @@
 });
 
 describe('a second fault during a graceful shutdown', () => {
-  // The entry is frozen, told to end, and wakes later. It hears of the end
-  // only then, with a stream in hand, which must still come whole.
+  // The entry is frozen, receives SIGTERM and is resumed later. It handles the
+  // signal only then, with a stream in progress, which must still complete.
   it('should cut off no stream when the entry is frozen meanwhile', async () => {
-    const stream = await openStream(system.port(0), 'frozen', LONG);
+    const stream = await openStream(system.port(0), 'frozen', STREAM_TOKENS);
     await stream.tokens(3);
     const {process} = system.deployment.child('entry-0');
     process.kill('SIGSTOP');
@@ -113,16 +124,19 @@
       return entry === undefined || entry.pollAgeMs > 1_000;
     });
     process.kill('SIGCONT');
-    expect(isExactStream((await stream.end()).text, LONG)).toBe(true);
+    expect(isExactStream((await stream.end()).text, STREAM_TOKENS)).toBe(true);
     expect(await ended).toBe(0);
-    await back('entry-0');
+    await restartAndWait('entry-0');
   }, 45_000);
 
-  // Entries lose control while they end. Requests in hand need no control,
-  // and a farewell that nobody hears must not keep a process for ever.
+  // Entries lose the connection to control while they drain. Requests in progress
+  // do not need control, and a leave message without a reply must not keep a
+  // process from exiting.
   it('should cut off no stream when entries lose control both ways and one way', async () => {
     const streams = await Promise.all(
-      [0, 1].map(entry => openStream(system.port(entry), 'cut off', LONG))
+      [0, 1].map(entry =>
+        openStream(system.port(entry), 'cut off', STREAM_TOKENS)
+      )
     );
     cutFrom('entry-0', 'control-', 'both');
     cutFrom('entry-1', 'control-', 'to client');
@@ -130,15 +144,17 @@
       system.deployment.child(entry).end('SIGTERM')
     );
     for (const stream of streams)
-      expect(isExactStream((await stream.end()).text, LONG)).toBe(true);
+      expect(isExactStream((await stream.end()).text, STREAM_TOKENS)).toBe(
+        true
+      );
     expect(await Promise.all(ended)).toEqual([0, 0]);
     system.deployment.links.heal();
-    await back('entry-0', 'entry-1');
+    await restartAndWait('entry-0', 'entry-1');
   }, 45_000);
 });
 
-/** Calls of both kinds through the given entries, until told to stop. */
-function load(entries: readonly number[]) {
+/** Sends chats and assignments through the given entries until stopped. */
+function startLoad(entries: readonly number[]) {
   let running = true;
   const answers: CallerAnswer[] = [];
   const clients = [0, 1, 2, 3].map(async client => {
@@ -158,34 +174,39 @@
   return {answers, stop};
 }
 
-function drainings(name: string): number {
+function drainCount(name: string): number {
   const log = readFileSync(system.deployment.logFile(name), 'utf8');
   return log.split('"msg":"draining"').length - 1;
 }
 
-/** Resolves when the process has heard the signal, with its exit to come. */
-async function toldToEnd(name: string) {
-  const before = drainings(name);
+/**
+ * Sends SIGTERM; resolves with the pending exit once the process is draining.
+ */
+async function startDraining(name: string) {
+  const before = drainCount(name);
   const ended = system.deployment.child(name).end('SIGTERM');
-  await eventually('the signal', async () => drainings(name) > before);
+  await eventually('the signal', async () => drainCount(name) > before);
   return {ended};
 }
 
-/** What the target itself wrote down. */
-function runsOf(targetId: string): number {
+/** Number of runs in the target's own record. */
+function runCount(targetId: string): number {
   const file = system.deployment.recordFile(`fake-${targetId}`);
   return readRecord(file).length;
 }
 
-/** The gate is shut by now; what had passed it before is run to its end. */
-async function runsOnceIdle(targetId: string): Promise<number> {
+/**
+ * Waits until the requests that passed the agent's gate before it closed have
+ * completed; resolves with the number of runs.
+ */
+async function runCountOnceIdle(targetId: string): Promise<number> {
   const target = system.deployment.targets.find(
     one => one.targetId === targetId
   );
   let last = -1;
   return eventually('the target is idle', async () => {
     const {concurrent} = await system.fake(target!.fakePort, 'state');
-    const runs = runsOf(targetId);
+    const runs = runCount(targetId);
     const isIdle = concurrent === 0 && runs === last;
     last = runs;
     return isIdle ? runs : undefined;
@@ -221,25 +242,26 @@
 ] as const;
 
 describe('a second fault while a target is leaving', () => {
-  // An agent is told to leave, and with it something fails by which entries
-  // would have heard of it. Entries that know nothing still send; the gate
-  // refuses, they go elsewhere, and the target's own record shows no new work.
+  // An agent receives SIGTERM just after the failure of a process or link by
+  // which entries would learn that it leaves. Entries that do not know still
+  // dispatch to it; the agent's gate refuses, they retry elsewhere, and the
+  // target's own record shows no new work.
   it.each(SECOND_FAULTS)(
     'should give it no new work when $name',
     async ({entries, begin}) => {
-      const {answers, stop} = load(entries);
+      const {answers, stop} = startLoad(entries);
       await eventually('load', async () => answers.length > 20);
       const killed = await begin();
-      const {ended} = await toldToEnd('agent-planner-0');
-      const runs = await runsOnceIdle('planner-0');
+      const {ended} = await startDraining('agent-planner-0');
+      const runs = await runCountOnceIdle('planner-0');
       const count = answers.length;
       await eventually('more load', async () => answers.length > count + 20);
       expect(await ended).toBe(0);
       const failed = (await stop()).filter(one => one.status >= 400);
       expect(failed.map(one => [one.reason, one.body])).toEqual([]);
-      expect(runsOf('planner-0')).toBe(runs);
+      expect(runCount('planner-0')).toBe(runs);
       system.deployment.links.heal();
-      await back('agent-planner-0', ...killed);
+      await restartAndWait('agent-planner-0', ...killed);
     },
     45_000
   );
