--- a/src/rpc/messages.ts
+++ b/src/rpc/messages.ts
@@ -1,4 +1,7 @@
-/** Methods between our processes, and the schemas that validate them. */
+/**
+ * JSON-RPC methods between our processes, and the schemas that validate their
+ * parameters.
+ */
 
 import * as z from 'zod';
 import type {ModelOrder, OrderCheck} from '../core/fleetMessages';
@@ -23,7 +26,7 @@
 } as const;
 
 const id = z.string().min(1).max(200);
-const count = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 
 const announcement: z.ZodType<Announcement> = z.object({
   targetId: id,
@@ -32,13 +35,13 @@
   host: id,
   port: z.int().min(1).max(65535),
   agentBootId: id,
-  agentBootAtMs: count,
+  agentBootAtMs: nonNegative,
   seq: z.int().nonnegative(),
   state: z.enum(['serving', 'leaving']),
   temperature: z.enum(['cold', 'warming', 'warm']),
-  limit: count,
-  outstanding: count,
-  queued: count,
+  limit: nonNegative,
+  outstanding: nonNegative,
+  queued: nonNegative,
   model: z.string().optional(),
   modelVersion: z.string().optional(),
   group: z
@@ -50,17 +53,17 @@
       slots: z.int().positive(),
     })
     .optional(),
-  tokensInWork: count.optional(),
-  slowdown: count.optional(),
-  loadAgeMs: count.optional(),
+  tokensInWork: nonNegative.optional(),
+  slowdown: nonNegative.optional(),
+  loadAgeMs: nonNegative.optional(),
   prefixes: z.array(z.string()).max(4096).optional(),
 });
 
 const usage: z.ZodType<CustomerUsage> = z.object({
   customer: id,
-  requests: count,
-  tokens: count,
-  queueMs: count,
+  requests: nonNegative,
+  tokens: nonNegative,
+  queueMs: nonNegative,
 });
 
 /** See PollRequest. */
@@ -71,7 +74,7 @@
   availabilityZone: id,
   heldRevision: z.int().nonnegative(),
   takesDiff: z.boolean().optional(),
-  provenAgeMs: count.optional(),
+  provenAgeMs: nonNegative.optional(),
   announcement: announcement.optional(),
   unchanged: z
     .object({targetId: id, agentBootId: id, seq: z.int().nonnegative()})
@@ -82,7 +85,7 @@
   usagePart: z.boolean().optional(),
 });
 
-/** A rule file to put in force. */
+/** Submits a rule file as the new revision. */
 export interface SubmitRequest {
   readonly text: string;
 }
@@ -92,14 +95,17 @@
   text: z.string(),
 });
 
-/** A claim of a key for one dispatch, from an entry. */
+/** Claims an idempotency key for one dispatch. Sent by an entry. */
 export interface ClaimRequest {
   readonly customer: string;
   readonly key: string;
-  /** SHA-256 over method, path and body, hex. */
+  /** SHA-256 over method, path and body, in hex. */
   readonly digest: string;
   readonly entryId: string;
-  /** A claim resent under the same request id is the same claim. */
+  /**
+   * A claim that is sent again with the same request id counts as the same
+   * claim.
+   */
   readonly requestId: string;
   readonly targetId: string;
   readonly agentBootId: string;
@@ -128,7 +134,7 @@
   z.object({kind: z.literal('unknown')}),
 ]);
 
-/** Asks what is on record of a key. */
+/** Looks up the record of an idempotency key without claiming the key. */
 export type LookupRequest = Pick<ClaimRequest, 'customer' | 'key' | 'digest'>;
 
 /** See LookupRequest. */
@@ -138,7 +144,7 @@
   digest: id,
 });
 
-/** How an attempt under a key ended. */
+/** Records how an attempt under an idempotency key ended. */
 export interface SettleRequest {
   readonly customer: string;
   readonly key: string;
@@ -154,12 +160,15 @@
   settlement,
 });
 
-/** Asks an agent what became of a claim, and bars it if nothing did. */
+/**
+ * Queries the state of a claim at its agent. The agent fences a claim that has
+ * not run.
+ */
 export interface FenceClaimRequest {
   readonly customer: string;
   readonly key: string;
   readonly attempt: number;
-  /** The boot that the claim was bound to. */
+  /** Boot of the agent for which the claim was made. */
   readonly agentBootId: string;
 }
 
@@ -171,17 +180,21 @@
   agentBootId: id,
 });
 
-/** What an agent knows of a claim. */
+/** The state of a claim at its agent. */
 export type FenceClaimAnswer =
-  /** It has not run and never will: a later dispatch of it is refused. */
+  /**
+   * It has not run and never will: the agent refuses later dispatches of it.
+   */
   | {readonly kind: 'fenced'}
   | {readonly kind: 'running'}
-  /** It ran; its answer, where the agent still holds it. */
+  /** It ran; with the response, if the agent still has it. */
   | {readonly kind: 'ran'; readonly answer?: RecordedAnswer}
-  /** Another boot answers; what the claim's own boot did is not known. */
+  /**
+   * The agent has restarted; whether the claim ran in its own boot is unknown.
+   */
   | {readonly kind: 'other boot'};
 
-/** Asks a control instance for a target that the entry does not follow. */
+/** Queries a control instance for a target outside the entry's subset. */
 export interface LocateRequest {
   readonly targetId: string;
 }
@@ -189,7 +202,7 @@
 /** See LocateRequest. */
 export const locateRequest: z.ZodType<LocateRequest> = z.object({targetId: id});
 
-/** What the instance has heard of it, if anything. */
+/** The latest announcement of the target at this instance, if there is one. */
 export interface LocateAnswer {
   readonly announcement?: Announcement;
 }
@@ -204,5 +217,5 @@
 /** See OrderCheck. */
 export const orderCheck: z.ZodType<OrderCheck> = z.object({targetId: id});
 
-/** For calls without parameters. */
+/** Parameters of methods that take none. */
 export const noParams = z.object({}).optional();
--- a/src/rpc/peerClient.ts
+++ b/src/rpc/peerClient.ts
@@ -1,4 +1,4 @@
-/** Calls to one peer process over JSON-RPC. */
+/** JSON-RPC client for calls to a peer process. */
 
 import https from 'node:https';
 import {JSONRPCClient, JSONRPCErrorException} from 'json-rpc-2.0';
@@ -8,40 +8,44 @@
 import type {PeerTraffic} from './peerTraffic';
 import {clientTls} from './peerTls';
 
-/** Where a peer is and how it is spoken to. */
+/** Id and network address of a peer. */
 export interface PeerAddress {
   readonly id: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** Sockets to one peer are kept open, up to this many. */
-const MAX_SOCKETS = 64;
+/** Limit of idle sockets that are kept open to one peer. */
+const MAX_IDLE_SOCKETS = 64;
 
 /**
- * All connections of one agent share their TLS options, so the address alone
- * tells them apart. Node's own name lists every option, anew for each request.
+ * Pools sockets by host and port alone, since all connections of one HTTPS
+ * agent share their TLS options. The default name of a pool lists every option
+ * and is built anew for each request.
  */
-class PeerAgent extends https.Agent {
+class PeerHttpsAgent extends https.Agent {
   override getName({host, port}: https.RequestOptions): string {
     return `${host}:${port}`;
   }
 }
 
-/** A keep-alive HTTPS agent that proves `secret` under the name `identity`. */
+/**
+ * Creates a keep-alive HTTPS agent that authenticates as `identity` with
+ * `secret`.
+ */
 export function createPeerAgent(secret: string, identity: string): https.Agent {
   const tls = clientTls(secret, identity);
-  return new PeerAgent({
+  return new PeerHttpsAgent({
     ...tls,
     keepAlive: true,
-    maxFreeSockets: MAX_SOCKETS,
+    maxFreeSockets: MAX_IDLE_SOCKETS,
   });
 }
 
-/** Makes clients that share their connections. */
+/** Creates clients that share one connection pool. */
 export type PeerClientFactory = (address: PeerAddress) => PeerClient;
 
-/** A JSON-RPC client of one peer. */
+/** Calls JSON-RPC methods of one peer. */
 export class PeerClient {
   private nextId = 1;
 
@@ -51,15 +55,15 @@
     private readonly traffic?: PeerTraffic
   ) {}
 
-  /** Resolves with the result; rejects with PeerError. */
+  /** Resolves with the result of the method; rejects with a PeerError. */
   async call<R>(
     method: string,
     params: unknown,
     timeoutMs: number
   ): Promise<R> {
-    // The library turns a failed send into an error answer of code 0. Taken
-    // as such, a call whose answer was lost would look refused by the peer,
-    // and be repeated or reported "not run" although it may have run.
+    // The library converts a failed send into an error reply with code 0. A
+    // call whose reply was lost would then look rejected by the peer, and be
+    // retried or reported as "not run" although it may have run.
     let sendFailure: unknown;
     const client = new JSONRPCClient(
       async request => {
@@ -97,15 +101,15 @@
           'content-length': Buffer.byteLength(body),
         },
       });
-      // HTTP/1.1 keeps a connection open unless told otherwise.
+      // Redundant, since HTTP/1.1 connections are persistent by default.
       req.removeHeader('connection');
       const timer = setTimeout(() => {
         fail({kind: 'timeout'}, `no answer in ${timeoutMs} ms`);
         req.destroy();
       }, timeoutMs);
       req.on('socket', socket => {
-        this.traffic?.track(socket);
-        this.traffic?.message('written', body.length);
+        this.traffic?.trackSocket(socket);
+        this.traffic?.addRecordOverhead('written', body.length);
         connected = !socket.connecting;
         if (!connected) socket.once('secureConnect', () => (connected = true));
       });
@@ -123,13 +127,13 @@
         res.on('error', err => fail({kind: 'lost'}, err.message));
         res.on('end', () => {
           const text = Buffer.concat(chunks).toString('utf8');
-          this.traffic?.message('read', text.length);
+          this.traffic?.addRecordOverhead('read', text.length);
           if (res.statusCode === 200) return resolve(text);
           if (res.statusCode === 426) {
-            const theirs = String(res.headers[PROTOCOL_HEADER]);
+            const peerVersion = String(res.headers[PROTOCOL_HEADER]);
             return fail(
-              {kind: 'version', theirs},
-              `peer speaks version ${theirs}`
+              {kind: 'version', theirs: peerVersion},
+              `peer speaks version ${peerVersion}`
             );
           }
           return fail(
--- a/src/rpc/peerServer.ts
+++ b/src/rpc/peerServer.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC over HTTPS for calls between our processes. */
+/** Server for JSON-RPC over HTTPS between our processes. */
 
 import https from 'node:https';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -12,26 +12,29 @@
 import type {PeerTraffic} from './peerTraffic';
 import {peerIdentity, serverTls} from './peerTls';
 
-/** Path of all JSON-RPC calls. */
+/** URL path of all JSON-RPC calls. */
 export const RPC_PATH = '/rpc';
-/** Header with the protocol version. */
+/** HTTP header with the protocol version of the sender. */
 export const PROTOCOL_HEADER = 'marlpulley-protocol';
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
-/** JSON-RPC error codes of ours, outside the reserved range. */
+/**
+ * JSON-RPC error codes: the standard one for invalid parameters, and our own
+ * outside the reserved range.
+ */
 export const RPC_CODES = {
   invalidParams: -32602,
   failed: 1,
   notLeader: 2,
 } as const;
 
-/** A method: its parameters are validated here, once. */
+/** A JSON-RPC method; the server validates its parameters by `params`. */
 export interface RpcMethod<P, R> {
   readonly params: z.ZodType<P>;
   handle(params: P, peer: string): Promise<R> | R;
 }
 
-/** Errors that a method wants its caller to tell apart. */
+/** An error whose code and data are returned to the caller of the method. */
 export class RpcFailure extends Error {
   constructor(
     readonly code: number,
@@ -43,25 +46,25 @@
   }
 }
 
-/** What a peer server is made of. */
+/** Options of a peer server. */
 export interface PeerServerOptions {
   readonly host: string;
   readonly port: number;
   readonly secret: string;
-  /** Accepted besides, while one key replaces the other. */
+  /** Also accepted from clients, while the shared secret is being replaced. */
   readonly acceptSecret?: string;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Counts what passes through the port, dispatches included. */
+  /** Counts all bytes through the port, those of dispatches included. */
   readonly traffic?: PeerTraffic;
-  /** Takes whatever is no RPC call, such as dispatches to an agent. */
+  /** Handles requests other than RPC calls, such as dispatches to an agent. */
   readonly fallback?: (req: IncomingMessage, res: ServerResponse) => void;
 }
 
-/** The internal port of a process. */
+/** HTTPS server on the internal port of a process. */
 export class PeerServer {
   private readonly rpc = new JSONRPCServer<{readonly peer: string}>({
-    // The library would write failures to stderr, between the JSON log lines.
+    // The library writes errors to stderr by default, between JSON log lines.
     errorListener: (message, data) =>
       this.options.logger.debug({err: String(data)}, message),
   });
@@ -70,29 +73,29 @@
   constructor(private readonly options: PeerServerOptions) {
     const tls = serverTls(options.secret, options.acceptSecret);
     this.server = https.createServer(tls, (req, res) =>
-      this.dispatch(req, res)
+      this.handleRequest(req, res)
     );
-    // The TCP socket, below TLS.
+    // Emitted with the TCP socket underneath TLS.
     this.server.on('connection', socket =>
-      options.traffic?.track(socket as Socket)
+      options.traffic?.trackSocket(socket as Socket)
     );
     this.server.on('tlsClientError', err =>
-      this.rejected('handshake', err.message)
+      this.recordRejection('handshake', err.message)
     );
     this.server.on('clientError', (err, socket) => {
-      this.rejected('malformed', err.message);
+      this.recordRejection('malformed', err.message);
       socket.destroy();
     });
-    // A hung peer must not hold a connection open for ever, but dispatched
-    // streams may be long: only the headers are bounded in time.
+    // Dispatched streams may be long, so only the time for the headers is
+    // limited. That keeps hung peers from holding connections open forever.
     this.server.requestTimeout = 0;
     this.server.keepAliveTimeout = 60_000;
   }
 
   addMethod<P, R>(name: string, method: RpcMethod<P, R>): void {
-    this.rpc.addMethod(name, async (raw: unknown, context) => {
-      const params = method.params.safeParse(raw);
-      if (!params.success) throw this.invalid(name, params.error);
+    this.rpc.addMethod(name, async (rawParams: unknown, context) => {
+      const params = method.params.safeParse(rawParams);
+      if (!params.success) throw this.rejectParams(name, params.error);
       try {
         return await method.handle(params.data, context.peer);
       } catch (err) {
@@ -101,7 +104,7 @@
     });
   }
 
-  /** Resolves with the port, chosen by the kernel when the setting is 0. */
+  /** Resolves with the bound port; for port 0 the kernel chooses one. */
   listen(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -118,10 +121,10 @@
     });
   }
 
-  private dispatch(req: IncomingMessage, res: ServerResponse): void {
+  private handleRequest(req: IncomingMessage, res: ServerResponse): void {
     if (req.url === RPC_PATH && req.method === 'POST') {
-      this.receive(req, res).catch((err: unknown) => {
-        this.rejected('malformed', String(err));
+      this.handleRpc(req, res).catch((err: unknown) => {
+        this.recordRejection('malformed', String(err));
         res.destroy();
       });
       return;
@@ -133,15 +136,15 @@
     res.writeHead(404).end();
   }
 
-  private async receive(
+  private async handleRpc(
     req: IncomingMessage,
     res: ServerResponse
   ): Promise<void> {
-    const theirs = String(req.headers[PROTOCOL_HEADER]);
-    if (theirs !== PROTOCOL_VERSION) {
-      this.rejected(
+    const peerVersion = String(req.headers[PROTOCOL_HEADER]);
+    if (peerVersion !== PROTOCOL_VERSION) {
+      this.recordRejection(
         'version',
-        `${peerIdentity(req.socket)} speaks version ${theirs}`
+        `${peerIdentity(req.socket)} speaks version ${peerVersion}`
       );
       res
         .writeHead(426, {
@@ -151,28 +154,28 @@
         .end();
       return;
     }
-    const text = await readText(req);
-    const answer = await this.rpc.receiveJSON(text, {
+    const text = await readBody(req);
+    const reply = await this.rpc.receiveJSON(text, {
       peer: peerIdentity(req.socket),
     });
-    const body = JSON.stringify(answer);
-    // Polls are most of what control sends: headers that nobody reads cost as
-    // much as what they say.
+    const body = JSON.stringify(reply);
+    // Poll replies are most of what control sends. An unused Date header would
+    // cost about as much as their content.
     res.sendDate = false;
     res.writeHead(200, {'content-length': Buffer.byteLength(body)});
     res.end(body);
   }
 
-  private rejected(reason: string, detail: string): void {
+  private recordRejection(reason: string, detail: string): void {
     this.options.metrics.count('peer.rejected', {reason});
     this.options.logger.warn(
       {reason, detail},
-      'internal connection or message refused'
+      'internal connection or message rejected'
     );
   }
 
-  private invalid(name: string, err: z.ZodError): JSONRPCErrorException {
-    this.rejected('invalid', `${name}: ${err.message}`);
+  private rejectParams(name: string, err: z.ZodError): JSONRPCErrorException {
+    this.recordRejection('invalid', `${name}: ${err.message}`);
     return new JSONRPCErrorException(
       z.prettifyError(err),
       RPC_CODES.invalidParams
@@ -187,12 +190,13 @@
   return new JSONRPCErrorException(String(err), RPC_CODES.failed, detail);
 }
 
-async function readText(req: IncomingMessage): Promise<string> {
+async function readBody(req: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of req as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > MAX_MESSAGE_BYTES) throw new Error('message too large');
+    if (size > MAX_MESSAGE_BYTES)
+      throw new Error(`message exceeds ${MAX_MESSAGE_BYTES} bytes`);
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString('utf8');
