--- a/src/rules/askedBy.ts
+++ b/src/rules/askedBy.ts
@@ -1,6 +1,6 @@
-/** Who asked for a rule, from the comment at the end of its line. */
+/** Reads who asked for a rule from the comment at the end of its line. */
 
-/** Words that stand where a name should and name nobody. */
+/** Words in place of a name that identify nobody. */
 const PLACEHOLDERS: ReadonlySet<string> = new Set([
   'anybody',
   'anyone',
@@ -16,15 +16,15 @@
   'us',
 ]);
 
-const COMMENT = /^\s*asked by\s+([^,;:(]+)/i;
+const ASKED_BY_COMMENT = /^\s*asked by\s+([^,;:(]+)/i;
 const LETTER = /\p{L}/u;
 
 /**
- * The name in `asked by NAME`; what follows a comma, semicolon, colon or
- * bracket is a remark. None when nobody is named.
+ * Returns the name in `asked by NAME`, or undefined if nobody is named. Text
+ * after a comma, semicolon, colon or parenthesis is a remark.
  */
 export function readAskedBy(comment: string): string | undefined {
-  const who = COMMENT.exec(comment)?.[1]?.trim().replace(/\s+/g, ' ');
-  if (who === undefined || !LETTER.test(who)) return undefined;
-  return PLACEHOLDERS.has(who.toLowerCase()) ? undefined : who;
+  const name = ASKED_BY_COMMENT.exec(comment)?.[1]?.trim().replace(/\s+/g, ' ');
+  if (name === undefined || !LETTER.test(name)) return undefined;
+  return PLACEHOLDERS.has(name.toLowerCase()) ? undefined : name;
 }
--- a/src/rules/crossCheck.ts
+++ b/src/rules/crossCheck.ts
@@ -1,26 +1,26 @@
-/** Checks that concern more than one line of the rule file. */
+/** Validates rules against each other, over all lines of a rule file. */
 
 import {suggestion} from '../core/nearestName';
 import {unreachable} from '../core/errors';
 import {columnOf} from './parseLine';
-import type {PlacedRule} from './parseLine';
+import type {ParsedRule} from './parseLine';
 import type {LimitRule, PoolRule, Rule, RouteRule, ServeRule} from './rule';
 import type {RuleProblem} from './ruleProblem';
 
-/** A customer name in routes that stands for every customer. */
+/** Customer name in `route` lines that matches every customer. */
 export const ANY_CUSTOMER = 'any';
 
-function ofKind<K extends Rule['kind']>(
-  placed: readonly PlacedRule[],
+function rulesOfKind<K extends Rule['kind']>(
+  parsedRules: readonly ParsedRule[],
   kind: K
 ): readonly Extract<Rule, {kind: K}>[] {
-  return placed
+  return parsedRules
     .map(item => item.rule)
     .filter((rule): rule is Extract<Rule, {kind: K}> => rule.kind === kind);
 }
 
-/** What may stand only once in a file, in words. */
-function identity(rule: Rule): string {
+/** Key that only one line of a file may have, as printed in problems. */
+function uniqueKey(rule: Rule): string {
   switch (rule.kind) {
     case 'revision':
       return 'revision';
@@ -45,7 +45,7 @@
 }
 
 function problemAt(
-  item: PlacedRule,
+  item: ParsedRule,
   key: string | undefined,
   reason: string
 ): RuleProblem {
@@ -53,27 +53,29 @@
   return {line: item.rule.line, column, reason};
 }
 
-function findDuplicates(placed: readonly PlacedRule[]): readonly RuleProblem[] {
-  const first = new Map<string, number>();
+function findDuplicates(
+  parsedRules: readonly ParsedRule[]
+): readonly RuleProblem[] {
+  const firstLines = new Map<string, number>();
   const problems: RuleProblem[] = [];
-  for (const item of placed) {
-    const id = identity(item.rule);
-    const line = first.get(id);
-    if (line === undefined) first.set(id, item.rule.line);
+  for (const item of parsedRules) {
+    const key = uniqueKey(item.rule);
+    const line = firstLines.get(key);
+    if (line === undefined) firstLines.set(key, item.rule.line);
     else
       problems.push(
-        problemAt(item, undefined, `"${id}" stands on line ${line} already`)
+        problemAt(item, undefined, `"${key}" stands on line ${line} already`)
       );
   }
   return problems;
 }
 
-/** Refuses names of pools and customers that no line declares. */
-function findUndeclared(
-  placed: readonly PlacedRule[],
-  declared: Declared
+/** Reports pools and customers that no line declares. */
+function findUndeclaredNames(
+  parsedRules: readonly ParsedRule[],
+  declared: DeclaredNames
 ): readonly RuleProblem[] {
-  return placed.flatMap(item => {
+  return parsedRules.flatMap(item => {
     const {rule} = item;
     const problems: RuleProblem[] = [];
     if ('pool' in rule && !declared.pools.has(rule.pool))
@@ -96,31 +98,37 @@
   });
 }
 
-/** Names that some line of the file mentions as its own. */
-export interface Declared {
+/** Names that the `pool` and `customer` lines of a file declare. */
+export interface DeclaredNames {
   readonly pools: ReadonlySet<string>;
-  /** With `any`. */
+  /** Includes `any`. */
   readonly customers: ReadonlySet<string>;
 }
 
-function findDeadRoutes(placed: readonly PlacedRule[]): readonly RuleProblem[] {
-  const total = new Map<string, number>();
-  const key = (rule: RouteRule) => `${rule.customer} ${rule.path}`;
-  for (const rule of ofKind(placed, 'route'))
-    total.set(key(rule), (total.get(key(rule)) ?? 0) + rule.weight);
+function findZeroWeightRoutes(
+  parsedRules: readonly ParsedRule[]
+): readonly RuleProblem[] {
+  const totalWeights = new Map<string, number>();
+  const routeKey = (rule: RouteRule) => `${rule.customer} ${rule.path}`;
+  for (const rule of rulesOfKind(parsedRules, 'route'))
+    totalWeights.set(
+      routeKey(rule),
+      (totalWeights.get(routeKey(rule)) ?? 0) + rule.weight
+    );
   const reported = new Set<string>();
-  return placed.flatMap(item => {
+  return parsedRules.flatMap(item => {
     const {rule} = item;
-    if (rule.kind !== 'route' || total.get(key(rule)) !== 0) return [];
-    if (reported.has(key(rule))) return [];
-    reported.add(key(rule));
+    if (rule.kind !== 'route' || totalWeights.get(routeKey(rule)) !== 0)
+      return [];
+    if (reported.has(routeKey(rule))) return [];
+    reported.add(routeKey(rule));
     const reason = `all routes of customer=${rule.customer} path=${rule.path} have weight 0; one must have more`;
     return [problemAt(item, 'weight', reason)];
   });
 }
 
 function checkLimit(
-  item: PlacedRule,
+  item: ParsedRule,
   rule: LimitRule,
   pool: PoolRule | undefined
 ): readonly RuleProblem[] {
@@ -140,7 +148,7 @@
 }
 
 function checkServe(
-  item: PlacedRule,
+  item: ParsedRule,
   rule: ServeRule,
   pool: PoolRule | undefined
 ): readonly RuleProblem[] {
@@ -154,9 +162,13 @@
   return problems;
 }
 
-function checkValues(placed: readonly PlacedRule[]): readonly RuleProblem[] {
-  const pools = new Map(ofKind(placed, 'pool').map(rule => [rule.pool, rule]));
-  return placed.flatMap(item => {
+function checkValues(
+  parsedRules: readonly ParsedRule[]
+): readonly RuleProblem[] {
+  const pools = new Map(
+    rulesOfKind(parsedRules, 'pool').map(rule => [rule.pool, rule])
+  );
+  return parsedRules.flatMap(item => {
     const {rule} = item;
     if (rule.kind === 'limit')
       return checkLimit(item, rule, pools.get(rule.pool));
@@ -184,18 +196,18 @@
 }
 
 /**
- * All faults across lines. Declared names are given apart from the rules, so
- * that a fault in a `pool` line is not reported again by each line that uses
- * the pool.
+ * Returns all problems between lines. The declared names are passed separately,
+ * because they include those of invalid lines: a problem in a `pool` line must
+ * not be reported again for each line that uses the pool.
  */
 export function crossCheck(
-  placed: readonly PlacedRule[],
-  declared: Declared
+  parsedRules: readonly ParsedRule[],
+  declared: DeclaredNames
 ): readonly RuleProblem[] {
   return [
-    ...findDuplicates(placed),
-    ...findUndeclared(placed, declared),
-    ...findDeadRoutes(placed),
-    ...checkValues(placed),
+    ...findDuplicates(parsedRules),
+    ...findUndeclaredNames(parsedRules, declared),
+    ...findZeroWeightRoutes(parsedRules),
+    ...checkValues(parsedRules),
   ];
 }
--- a/src/rules/parseLine.ts
+++ b/src/rules/parseLine.ts
@@ -1,29 +1,29 @@
-/** Reads one line of the rule file by itself. */
+/** Parses and validates a single line of a rule file. */
 
 import type {z} from 'zod';
 import {suggestion} from '../core/nearestName';
 import {readAskedBy} from './askedBy';
 import type {Rule} from './rule';
 import type {RuleProblem} from './ruleProblem';
-import {POSITIONAL, RULE_FIELDS, RULE_SCHEMA} from './ruleSchema';
-import type {RuleField, RuleWord} from './ruleSchema';
+import {POSITIONAL_KEYS, RULE_FIELDS, RULE_SCHEMA} from './ruleSchema';
+import type {RuleField, RuleKeyword} from './ruleSchema';
 import {tokenizeLine} from './tokenizeLine';
 import type {Word} from './tokenizeLine';
 import {toRule} from './toRule';
 
-/** A rule with its line as written, for checks across lines. */
-export interface PlacedRule {
+/** A valid rule with the text of its line, for checks between lines. */
+export interface ParsedRule {
   readonly rule: Rule;
   readonly text: string;
 }
 
-/** What a line came to; a blank or comment line has neither. */
+/** A parsed line; blank and comment lines have neither rule nor problems. */
 export interface ParsedLine {
-  readonly placed?: PlacedRule;
+  readonly parsedRule?: ParsedRule;
   readonly problems: readonly RuleProblem[];
 }
 
-/** Collects the values of one line and what is wrong with them. */
+/** Collects the values of one line, their columns and their problems. */
 class LineReader {
   readonly problems: RuleProblem[] = [];
   readonly values = new Map<string, string>();
@@ -38,18 +38,18 @@
     this.problems.push({line: this.line, column, reason});
   }
 
-  takePositional(key: string, word: Word): void {
+  readPositional(key: string, word: Word): void {
     this.values.set(key, word.text);
     this.columns.set(key, word.column);
   }
 
-  takeOption(word: Word): void {
-    const split = word.text.indexOf('=');
-    if (split <= 0) {
-      this.report(word.column, this.unexpected(word.text));
+  readOption(word: Word): void {
+    const separator = word.text.indexOf('=');
+    if (separator <= 0) {
+      this.report(word.column, this.unexpectedWordReason(word.text));
       return;
     }
-    const key = word.text.slice(0, split);
+    const key = word.text.slice(0, separator);
     if (!this.optionKeys().includes(key)) {
       this.report(word.column, `unknown key "${key}"${this.hint(key)}`);
       return;
@@ -58,8 +58,8 @@
       this.report(word.column, `"${key}" is given twice`);
       return;
     }
-    this.values.set(key, word.text.slice(split + 1));
-    this.columns.set(key, word.column + split + 1);
+    this.values.set(key, word.text.slice(separator + 1));
+    this.columns.set(key, word.column + separator + 1);
   }
 
   private optionKeys(): readonly string[] {
@@ -73,7 +73,7 @@
     return `; this line takes ${keys.join(', ')}`;
   }
 
-  private unexpected(text: string): string {
+  private unexpectedWordReason(text: string): string {
     const keys = this.optionKeys();
     if (keys.length === 0) return `nothing may follow here, found "${text}"`;
     return `expected key=value, found "${text}"${suggestion(text, keys)}`;
@@ -87,14 +87,14 @@
 
 function readWords(
   reader: LineReader,
-  kind: RuleWord,
+  kind: RuleKeyword,
   words: readonly Word[]
 ): void {
-  const positional = POSITIONAL[kind];
+  const positional = POSITIONAL_KEYS[kind];
   for (const [index, word] of words.entries()) {
     const key = positional[index];
-    if (key === undefined) reader.takeOption(word);
-    else reader.takePositional(key, word);
+    if (key === undefined) reader.readOption(word);
+    else reader.readPositional(key, word);
   }
 }
 
@@ -115,23 +115,23 @@
   for (const issue of issues) {
     const key = String(issue.path[0]);
     const column = reader.columns.get(key);
-    // A value that is absent has been reported already, with its range.
+    // Missing values have been reported already, with their ranges.
     if (column !== undefined) reader.report(column, `${key} ${issue.message}`);
   }
 }
 
-function whoAsked(
+function requireAskedBy(
   reader: LineReader,
   comment: Word | undefined,
   end: number
 ): string | undefined {
-  const who = comment === undefined ? undefined : readAskedBy(comment.text);
-  if (who === undefined)
+  const askedBy = comment === undefined ? undefined : readAskedBy(comment.text);
+  if (askedBy === undefined)
     reader.report(
       comment?.column ?? end,
       'nobody is named; end the line with "# asked by NAME"'
     );
-  return who;
+  return askedBy;
 }
 
 function parseRule(
@@ -152,19 +152,19 @@
     return {problems: [{line, column: first.column, reason}]};
   }
   const reader = new LineReader(line, fields);
-  readWords(reader, first.text as RuleWord, rest);
+  readWords(reader, first.text as RuleKeyword, rest);
   reportMissing(reader, fields, end);
   const values = {kind: first.text, ...Object.fromEntries(reader.values)};
   const parsed = RULE_SCHEMA.safeParse(values);
   if (!parsed.success) reportIssues(reader, parsed.error.issues);
-  const askedBy = whoAsked(reader, comment, end);
+  const askedBy = requireAskedBy(reader, comment, end);
   if (!parsed.success || askedBy === undefined || reader.problems.length > 0)
     return {problems: reader.problems};
   const rule = toRule(parsed.data, {line, askedBy});
-  return {placed: {rule, text}, problems: []};
+  return {parsedRule: {rule, text}, problems: []};
 }
 
-/** The rule on one line, or all that is wrong with the line by itself. */
+/** Returns the rule of a line, or all problems of the line by itself. */
 export function parseLine(text: string, line: number): ParsedLine {
   const tokenized = tokenizeLine(text);
   if (!tokenized.ok) {
@@ -176,8 +176,8 @@
   return parseRule(text, line, first, rest, tokenized.comment);
 }
 
-/** Column of one value in a good line; 1 when the line leaves it out. */
-export function columnOf({rule, text}: PlacedRule, key: string): number {
+/** Column of a value in a valid line; 1 if the key is absent. */
+export function columnOf({rule, text}: ParsedRule, key: string): number {
   const tokenized = tokenizeLine(text);
   const fields = RULE_FIELDS.get(rule.kind) ?? [];
   const reader = new LineReader(rule.line, fields);
--- a/src/rules/parseRules.ts
+++ b/src/rules/parseRules.ts
@@ -1,27 +1,27 @@
 /**
- * Reads a rule file whole. Either every line is good, or nothing is taken and
- * all faults are reported at once.
+ * Parses a rule file as a whole. If any line is invalid, the file is rejected
+ * and all problems are reported at once.
  */
 
 import {ANY_CUSTOMER, crossCheck} from './crossCheck';
-import type {Declared} from './crossCheck';
+import type {DeclaredNames} from './crossCheck';
 import {parseLine} from './parseLine';
-import type {ParsedLine, PlacedRule} from './parseLine';
+import type {ParsedLine, ParsedRule} from './parseLine';
 import type {Rule, RuleSet} from './rule';
 import type {RuleProblem} from './ruleProblem';
 
-/** The rules, or why there are none. */
+/** The rules of a file, or all its problems. */
 export type ParseResult =
   | {readonly ok: true; readonly ruleSet: RuleSet}
   | {readonly ok: false; readonly problems: readonly RuleProblem[]};
 
-/** Largest file taken, in characters. */
+/** Size limit of a rule file, in characters. */
 const MAX_TEXT_LENGTH = 1_048_576;
 
 const DECLARATION = /^\s*(pool|customer)\s+([^\s#]+)/;
 
-/** Names declared on any line, also on one with another fault. */
-function declaredNames(lines: readonly string[]): Declared {
+/** Names declared on any line, including invalid ones. */
+function declaredNames(lines: readonly string[]): DeclaredNames {
   const pools = new Set<string>();
   const customers = new Set<string>([ANY_CUSTOMER]);
   for (const line of lines) {
@@ -32,16 +32,18 @@
   return {pools, customers};
 }
 
-function inOrder(problems: readonly RuleProblem[]): readonly RuleProblem[] {
+function sortByPosition(
+  problems: readonly RuleProblem[]
+): readonly RuleProblem[] {
   return [...problems].sort((a, b) => a.line - b.line || a.column - b.column);
 }
 
-function missingRevision(
+function findMissingRevision(
   lines: readonly string[],
-  placed: readonly PlacedRule[]
+  parsedRules: readonly ParsedRule[]
 ): readonly RuleProblem[] {
   const found =
-    placed.some(item => item.rule.kind === 'revision') ||
+    parsedRules.some(item => item.rule.kind === 'revision') ||
     lines.some(line => /^\s*revision(\s|$)/.test(line));
   if (found) return [];
   const reason =
@@ -49,8 +51,8 @@
   return [{line: 1, column: 1, reason}];
 }
 
-function revisionOf(placed: readonly PlacedRule[]): number {
-  for (const {rule} of placed)
+function revisionOf(parsedRules: readonly ParsedRule[]): number {
+  for (const {rule} of parsedRules)
     if (rule.kind === 'revision') return rule.revision;
   return 0;
 }
@@ -59,34 +61,39 @@
   return text.replace(/^\uFEFF/, '').split(/\r?\n/);
 }
 
-/** Good lines of the file before, as written. */
-function knownLines(previous: RuleSet | undefined): ReadonlyMap<string, Rule> {
-  const known = new Map<string, Rule>();
-  if (previous === undefined) return known;
+/** Rules of the previous file by the text of their line. */
+function rulesByLineText(
+  previous: RuleSet | undefined
+): ReadonlyMap<string, Rule> {
+  const rules = new Map<string, Rule>();
+  if (previous === undefined) return rules;
   const lines = splitLines(previous.text);
   for (const rule of previous.rules) {
     const text = lines[rule.line - 1];
-    if (text !== undefined) known.set(text, rule);
+    if (text !== undefined) rules.set(text, rule);
   }
-  return known;
+  return rules;
 }
 
 function parseLines(
   lines: readonly string[],
-  known: ReadonlyMap<string, Rule>
+  previousRules: ReadonlyMap<string, Rule>
 ): readonly ParsedLine[] {
   return lines.map((text, index) => {
     const line = index + 1;
-    const rule = known.get(text);
+    const rule = previousRules.get(text);
     if (rule === undefined) return parseLine(text, line);
-    const placed = {rule: rule.line === line ? rule : {...rule, line}, text};
-    return {placed, problems: []};
+    const parsedRule = {
+      rule: rule.line === line ? rule : {...rule, line},
+      text,
+    };
+    return {parsedRule, problems: []};
   });
 }
 
 /**
- * Parses the text of a rule file. Given the rules before, lines that stay as
- * they were are not read again; the result is the same.
+ * Parses the text of a rule file. Lines that also occur in the previous rule
+ * set, if given, are not parsed again; this does not change the result.
  */
 export function parseRules(text: string, previous?: RuleSet): ParseResult {
   if (text.length > MAX_TEXT_LENGTH) {
@@ -94,14 +101,15 @@
     return {ok: false, problems: [{line: 1, column: 1, reason}]};
   }
   const lines = splitLines(text);
-  const parsed = parseLines(lines, knownLines(previous));
-  const placed = parsed.flatMap(item => item.placed ?? []);
+  const parsed = parseLines(lines, rulesByLineText(previous));
+  const parsedRules = parsed.flatMap(item => item.parsedRule ?? []);
   const problems = [
     ...parsed.flatMap(item => item.problems),
-    ...missingRevision(lines, placed),
-    ...crossCheck(placed, declaredNames(lines)),
+    ...findMissingRevision(lines, parsedRules),
+    ...crossCheck(parsedRules, declaredNames(lines)),
   ];
-  if (problems.length > 0) return {ok: false, problems: inOrder(problems)};
-  const rules = placed.map(item => item.rule);
-  return {ok: true, ruleSet: {revision: revisionOf(placed), text, rules}};
+  if (problems.length > 0)
+    return {ok: false, problems: sortByPosition(problems)};
+  const rules = parsedRules.map(item => item.rule);
+  return {ok: true, ruleSet: {revision: revisionOf(parsedRules), text, rules}};
 }
--- a/src/rules/printRules.ts
+++ b/src/rules/printRules.ts
@@ -1,29 +1,29 @@
-/** Prints rules in their one canonical spelling. */
+/** Prints rules in canonical form, with defaults written out. */
 
 import {unreachable} from '../core/errors';
 import {printDuration} from './fieldSchemas';
 import type {LimitRule, Rule, RuleSet} from './rule';
 
-function option(key: string, value: string | number | undefined): string {
+function formatOption(key: string, value: string | number | undefined): string {
   return value === undefined ? '' : ` ${key}=${value}`;
 }
 
-function time(key: string, ms: number | undefined): string {
-  return option(key, ms === undefined ? undefined : printDuration(ms));
+function formatDurationOption(key: string, ms: number | undefined): string {
+  return formatOption(key, ms === undefined ? undefined : printDuration(ms));
 }
 
-function limitText(rule: LimitRule): string {
+function formatLimit(rule: LimitRule): string {
   return [
     `limit ${rule.pool}`,
-    time('timeout', rule.timeoutMs),
-    time('first-token', rule.firstTokenMs),
-    option('attempts', rule.attempts),
-    option('retry-budget', `${rule.retryBudgetPercent}%`),
-    time('hedge-after', rule.hedgeAfterMs),
+    formatDurationOption('timeout', rule.timeoutMs),
+    formatDurationOption('first-token', rule.firstTokenMs),
+    formatOption('attempts', rule.attempts),
+    formatOption('retry-budget', `${rule.retryBudgetPercent}%`),
+    formatDurationOption('hedge-after', rule.hedgeAfterMs),
   ].join('');
 }
 
-/** The rule without its comment. */
+/** Returns the line of a rule without its comment. */
 export function printRuleWords(rule: Rule): string {
   switch (rule.kind) {
     case 'revision':
@@ -33,13 +33,13 @@
     case 'route':
       return `route customer=${rule.customer} path=${rule.path} pool=${rule.pool} weight=${rule.weight}`;
     case 'customer':
-      return `customer ${rule.customer} share=${rule.share}${option('concurrent', rule.concurrent)}${option('queue', rule.queue)}`;
+      return `customer ${rule.customer} share=${rule.share}${formatOption('concurrent', rule.concurrent)}${formatOption('queue', rule.queue)}`;
     case 'once':
       return `once ${rule.method} ${rule.path} key=${rule.key}`;
     case 'warmup':
-      return `warmup ${rule.pool} start=${rule.start} full=${rule.full}${time('over', rule.overMs)}`;
+      return `warmup ${rule.pool} start=${rule.start} full=${rule.full}${formatDurationOption('over', rule.overMs)}`;
     case 'limit':
-      return limitText(rule);
+      return formatLimit(rule);
     case 'zone':
       return `zone ${rule.availabilityZone} ${rule.state}`;
     case 'rebalance':
@@ -51,7 +51,10 @@
   }
 }
 
-/** The whole file; each rule stays on its line, remarks become blank lines. */
+/**
+ * Returns the whole file. Rules keep their line numbers; comment lines become
+ * blank.
+ */
 export function printRules(ruleSet: RuleSet): string {
   const lines: string[] = [];
   for (const rule of ruleSet.rules) {
--- a/src/rules/requestPath.ts
+++ b/src/rules/requestPath.ts
@@ -1,9 +1,14 @@
-/** One spelling for each request path, so that rules cannot be sidestepped. */
+/**
+ * Normalizes request paths, so that an unusual spelling cannot bypass a rule.
+ */
 
-/** Paths without "%", empty or dot segments, a query or a fragment. */
-const PLAIN = /^(\/[A-Za-z0-9_~!@:+,=-][A-Za-z0-9._~!@:+,=-]*)*\/?$/;
+/**
+ * Paths that are canonical already: no "%", empty or dot segments, query or
+ * fragment.
+ */
+const CANONICAL_PATH = /^(\/[A-Za-z0-9_~!@:+,=-][A-Za-z0-9._~!@:+,=-]*)*\/?$/;
 
-function decode(path: string): string {
+function decodePath(path: string): string {
   try {
     return decodeURIComponent(path);
   } catch {
@@ -20,23 +25,23 @@
     else kept.push(segment);
   }
   const last = segments.at(-1);
-  const slash = last === '' || last === '.' || last === '..';
-  return `/${kept.join('/')}${slash && kept.length > 0 ? '/' : ''}`;
+  const endsInSlash = last === '' || last === '.' || last === '..';
+  return `/${kept.join('/')}${endsInSlash && kept.length > 0 ? '/' : ''}`;
 }
 
 /**
- * The path of a request target as rules see it: no query, percent signs
- * decoded, empty and dot segments resolved. A target reads `/%61ssign` and
- * `//assign` as `/assign`; matched as spelled they would miss the `once` rule
- * and be retried, which assigns twice.
+ * Returns the path of a request target in the form that rules are matched with:
+ * no query, percent-encoding decoded, empty and dot segments resolved. Targets
+ * treat `/%61ssign` and `//assign` as `/assign`. Without normalization those
+ * would miss the `once` rule for `/assign` and be retried, which assigns twice.
  */
 export function canonicalPath(requestTarget: string): string {
-  if (PLAIN.test(requestTarget)) return requestTarget || '/';
-  const absolute = /^[a-z][a-z0-9+.-]*:\/\/[^/?#]*/i.exec(requestTarget);
-  const local = requestTarget.slice(absolute?.[0].length ?? 0);
-  const withoutQuery = local.replace(/[?#].*$/s, '');
+  if (CANONICAL_PATH.test(requestTarget)) return requestTarget || '/';
+  const origin = /^[a-z][a-z0-9+.-]*:\/\/[^/?#]*/i.exec(requestTarget);
+  const withoutOrigin = requestTarget.slice(origin?.[0].length ?? 0);
+  const withoutQuery = withoutOrigin.replace(/[?#].*$/s, '');
   const rooted = withoutQuery.startsWith('/')
     ? withoutQuery
     : `/${withoutQuery}`;
-  return resolveSegments(decode(rooted).replaceAll('\\', '/'));
+  return resolveSegments(decodePath(rooted).replaceAll('\\', '/'));
 }
--- a/src/rules/rule.ts
+++ b/src/rules/rule.ts
@@ -1,19 +1,19 @@
-/** The operators' rules as data. One line of the rule file is one rule. */
+/** Types of the operators' rules. Each rule is one line of the rule file. */
 
 interface RuleLine {
-  /** Line in the file, from 1. */
+  /** Line number in the file, from 1. */
   readonly line: number;
   /** Who asked for it, from the comment at the end of the line. */
   readonly askedBy: string;
 }
 
-/** `revision 13`: the number of this file; exactly one more than the last. */
+/** `revision 13`: number of this file; exactly one more than the previous. */
 export interface RevisionRule extends RuleLine {
   readonly kind: 'revision';
   readonly revision: number;
 }
 
-/** `pool planner engine`: a set of like targets, model engines or a service. */
+/** `pool planner engine`: equivalent targets, model engines or a service. */
 export interface PoolRule extends RuleLine {
   readonly kind: 'pool';
   readonly pool: string;
@@ -23,12 +23,12 @@
 /** `route customer=harbour path=/v1/ pool=planner weight=90`. */
 export interface RouteRule extends RuleLine {
   readonly kind: 'route';
-  /** A customer, or `any`. A customer's own routes go before those of `any`. */
+  /** A customer, or `any`; a customer's own routes take precedence. */
   readonly customer: string;
-  /** Path prefix; the longest match goes first. */
+  /** Path prefix; the longest matching prefix wins. */
   readonly path: string;
   readonly pool: string;
-  /** Share of this route among equal ones, 0 to 1000. */
+  /** Weight among routes with the same customer and path, 0 to 1000. */
   readonly weight: number;
 }
 
@@ -36,11 +36,11 @@
 export interface CustomerRule extends RuleLine {
   readonly kind: 'customer';
   readonly customer: string;
-  /** Weight in every fair queue, above 0. */
+  /** Weight in every fair queue, at least 1. */
   readonly share: number;
-  /** Most requests at once for the customer at one target; none when absent. */
+  /** Concurrency limit of the customer at one target; unlimited if absent. */
   readonly concurrent?: number;
-  /** Most requests queued for the customer at one target. */
+  /** Limit of queued requests of the customer at one target. */
   readonly queue?: number;
 }
 
@@ -53,15 +53,15 @@
   readonly key: 'required' | 'optional';
 }
 
-/** `warmup planner start=1 full=8 over=30s`: what a fresh target may carry. */
+/** `warmup planner start=1 full=8 over=30s`: concurrency ramp of a target. */
 export interface WarmupRule extends RuleLine {
   readonly kind: 'warmup';
   readonly pool: string;
-  /** Requests at once on a target that has just started. */
+  /** Concurrency limit of a target that has just started. */
   readonly start: number;
-  /** Requests at once on a warm target. */
+  /** Concurrency limit of a warm target. */
   readonly full: number;
-  /** Least time from start to full, under load. */
+  /** Minimum time under load from `start` to `full`. */
   readonly overMs: number;
 }
 
@@ -71,44 +71,44 @@
   readonly pool: string;
   readonly timeoutMs: number;
   readonly firstTokenMs?: number;
-  /** Attempts on targets in all, 1 or more. */
+  /** Maximum attempts per request, the first included; at least 1. */
   readonly attempts: number;
-  /** Retries allowed per hundred requests. */
+  /** Allowed retries per 100 requests. */
   readonly retryBudgetPercent: number;
-  /** Second attempt after this time, for idempotent calls only. */
+  /** Delay of the hedge attempt; idempotent calls only. */
   readonly hedgeAfterMs?: number;
 }
 
-/** `zone zone-b out`: an availability zone in or out of service. */
+/** `zone zone-b out`: takes an availability zone in or out of service. */
 export interface ZoneRule extends RuleLine {
   readonly kind: 'zone';
   readonly availabilityZone: string;
   readonly state: 'in' | 'out';
 }
 
-/** `rebalance planner on gain=5%`: moving experts between ranks. */
+/** `rebalance planner on gain=5%`: whether experts are moved between ranks. */
 export interface RebalanceRule extends RuleLine {
   readonly kind: 'rebalance';
   readonly pool: string;
   readonly state: 'on' | 'off';
-  /** Least gain in step time that may start a move, in percent. */
+  /** Minimum reduction of the pass duration for a move, in percent. */
   readonly gainPercent: number;
 }
 
-/** `serve planner llama version=v2 min=2 max=8`: targets that hold a model. */
+/** `serve planner llama version=v2 min=2 max=8`: targets that serve a model. */
 export interface ServeRule extends RuleLine {
   readonly kind: 'serve';
   readonly pool: string;
   readonly model: string;
-  /** Version to which targets that hold another one are changed. */
+  /** Targets of the model with another version are changed to this one. */
   readonly version: string;
-  /** Targets that serve the model, in any version, at all times. */
+  /** Minimum number of targets serving the model at any time, any version. */
   readonly min: number;
-  /** Most targets that are given the model. */
+  /** Maximum number of targets that the model is assigned to. */
   readonly max: number;
 }
 
-/** Any rule. */
+/** A rule of any kind. */
 export type Rule =
   | RevisionRule
   | PoolRule
@@ -121,7 +121,7 @@
   | RebalanceRule
   | ServeRule;
 
-/** One accepted file. */
+/** A valid rule file. */
 export interface RuleSet {
   readonly revision: number;
   readonly text: string;
--- a/src/rules/ruleDefaults.ts
+++ b/src/rules/ruleDefaults.ts
@@ -1,24 +1,33 @@
-/** What holds where the rule file says nothing. */
+/** Defaults for lines and keys that the rule file leaves out. */
 
-/** Limits of a pool without a `limit` line, or for a key left out. */
+/**
+ * Limits of a pool without a `limit` line, and for keys that the line leaves
+ * out.
+ */
 export const DEFAULT_LIMIT = {
   timeoutMs: 30_000,
   attempts: 3,
   retryBudgetPercent: 10,
 } as const;
 
-/** Ramp of a pool without a `warmup` line. */
+/** Concurrency ramp of a pool without a `warmup` line. */
 export const DEFAULT_WARMUP = {
   start: 1,
   full: 8,
   overMs: 30_000,
 } as const;
 
-/** Weight of a route that names none. */
+/** Weight of a `route` line without `weight`. */
 export const DEFAULT_WEIGHT = 100;
 
-/** Share of a customer; only unknown customers are ever without a line. */
+/**
+ * Weight of a customer without a `customer` line; known customers always have
+ * one.
+ */
 export const DEFAULT_SHARE = 1;
 
-/** Least gain that starts a move, in percent; 0 leaves it to the planner. */
+/**
+ * Minimum gain that starts a move, in percent; 0 leaves the decision to the
+ * planner.
+ */
 export const DEFAULT_GAIN_PERCENT = 0;
--- a/src/rules/ruleDiff.ts
+++ b/src/rules/ruleDiff.ts
@@ -1,105 +1,124 @@
 /**
- * What changed between two rule files, so that an edit of one line reaches
- * thousands of processes as one line and not as the whole file.
+ * Line differences between rule files, so that an edit of one line is sent to
+ * thousands of processes as one line instead of the whole file.
  */
 
 import {createHash} from 'node:crypto';
 import type {LineChange, RuleDiff} from '../core/wire';
 
-/** A text with its revision. */
+/** The text of a rule file and its revision. */
 export interface RevisedText {
   readonly revision: number;
   readonly text: string;
 }
 
-/** Lines kept in both texts, as pairs of line numbers, ascending. */
-interface KeptLine {
+/** A line that both texts contain, by its index in each. */
+interface LinePair {
   readonly from: number;
   readonly to: number;
 }
 
-/** Digest by which both ends agree on a text. */
+/** Digest by which sender and receiver compare texts. */
 export function textDigest(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-function onceOnly(lines: readonly string[]): ReadonlyMap<string, number> {
-  const places = new Map<string, number>();
+function uniqueLines(lines: readonly string[]): ReadonlyMap<string, number> {
+  const indexes = new Map<string, number>();
   const repeated = new Set<string>();
   for (const [index, line] of lines.entries()) {
-    if (places.has(line)) repeated.add(line);
-    places.set(line, index);
+    if (indexes.has(line)) repeated.add(line);
+    indexes.set(line, index);
   }
-  for (const line of repeated) places.delete(line);
-  return places;
+  for (const line of repeated) indexes.delete(line);
+  return indexes;
 }
 
-/** Longest run of pairs that ascends on both sides, by patience sorting. */
-function longestAscending(pairs: readonly KeptLine[]): readonly KeptLine[] {
-  const tops: KeptLine[] = [];
-  const before = new Map<KeptLine, KeptLine | undefined>();
+/**
+ * Longest subsequence that ascends in both texts, by patience sorting; the
+ * pairs must ascend by `from`.
+ */
+function longestAscendingRun(pairs: readonly LinePair[]): readonly LinePair[] {
+  const runEnds: LinePair[] = [];
+  const predecessors = new Map<LinePair, LinePair | undefined>();
   for (const pair of pairs) {
     let low = 0;
-    let high = tops.length;
+    let high = runEnds.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if ((tops[middle]?.to ?? 0) < pair.to) low = middle + 1;
+      if ((runEnds[middle]?.to ?? 0) < pair.to) low = middle + 1;
       else high = middle;
     }
-    before.set(pair, tops[low - 1]);
-    tops[low] = pair;
+    predecessors.set(pair, runEnds[low - 1]);
+    runEnds[low] = pair;
   }
-  const run: KeptLine[] = [];
-  for (let pair = tops.at(-1); pair !== undefined; pair = before.get(pair))
+  const run: LinePair[] = [];
+  for (
+    let pair = runEnds.at(-1);
+    pair !== undefined;
+    pair = predecessors.get(pair)
+  )
     run.push(pair);
   return run.reverse();
 }
 
-/** Lines that stand once in each text and keep their order. */
-function anchors(
+/** Lines that occur exactly once in each text, in the same order in both. */
+function findAnchors(
   from: readonly string[],
   to: readonly string[]
-): readonly KeptLine[] {
-  const places = onceOnly(to);
-  const pairs: KeptLine[] = [];
-  for (const [line, index] of onceOnly(from)) {
-    const place = places.get(line);
-    if (place !== undefined) pairs.push({from: index, to: place});
+): readonly LinePair[] {
+  const toIndexes = uniqueLines(to);
+  const pairs: LinePair[] = [];
+  for (const [line, fromIndex] of uniqueLines(from)) {
+    const toIndex = toIndexes.get(line);
+    if (toIndex !== undefined) pairs.push({from: fromIndex, to: toIndex});
   }
-  return longestAscending(pairs.sort((a, b) => a.from - b.from));
+  return longestAscendingRun(pairs.sort((a, b) => a.from - b.from));
 }
 
-/** The change between two anchors, less the lines equal at its ends. */
+/** The change between two anchors, without equal lines at its ends. */
 function changeBetween(
   from: readonly string[],
   to: readonly string[],
-  start: KeptLine,
-  end: KeptLine
+  start: LinePair,
+  end: LinePair
 ): LineChange | undefined {
-  let {from: at, to: place} = start;
+  let {from: fromStart, to: toStart} = start;
   let {from: fromEnd, to: toEnd} = end;
-  while (at < fromEnd && place < toEnd && from[at] === to[place]) {
-    at++;
-    place++;
+  while (
+    fromStart < fromEnd &&
+    toStart < toEnd &&
+    from[fromStart] === to[toStart]
+  ) {
+    fromStart++;
+    toStart++;
   }
-  while (fromEnd > at && toEnd > place && from[fromEnd - 1] === to[toEnd - 1]) {
+  while (
+    fromEnd > fromStart &&
+    toEnd > toStart &&
+    from[fromEnd - 1] === to[toEnd - 1]
+  ) {
     fromEnd--;
     toEnd--;
   }
-  if (at === fromEnd && place === toEnd) return undefined;
-  return {at, removed: fromEnd - at, added: to.slice(place, toEnd)};
+  if (fromStart === fromEnd && toStart === toEnd) return undefined;
+  return {
+    at: fromStart,
+    removed: fromEnd - fromStart,
+    added: to.slice(toStart, toEnd),
+  };
 }
 
-/** The difference that turns one file into the other. */
+/** Computes the difference that turns one file into the other. */
 export function diffRules(from: RevisedText, to: RevisedText): RuleDiff {
   const fromLines = from.text.split('\n');
   const toLines = to.text.split('\n');
   const ends = [
-    ...anchors(fromLines, toLines),
+    ...findAnchors(fromLines, toLines),
     {from: fromLines.length, to: toLines.length},
   ];
   const changes: LineChange[] = [];
-  let start: KeptLine = {from: 0, to: 0};
+  let start: LinePair = {from: 0, to: 0};
   for (const end of ends) {
     const change = changeBetween(fromLines, toLines, start, end);
     if (change !== undefined) changes.unshift(change);
@@ -115,9 +134,9 @@
 }
 
 /**
- * The file that a difference leads to; undefined when it was made for another
- * text, and the whole file has to be sent. The digest of the result is checked
- * as well: a wrong line in force would not show until a request went astray.
+ * Applies a difference. Returns undefined if it was made for another text, so
+ * that the whole file has to be sent. The digest of the result is verified as
+ * well: a wrong active line would go unnoticed until it misroutes a request.
  */
 export function applyDiff(
   from: RevisedText,
--- a/src/rules/ruleIndex.ts
+++ b/src/rules/ruleIndex.ts
@@ -1,4 +1,4 @@
-/** Look-ups in one rule set, prepared once so that each request pays little. */
+/** Indexes a rule set once, for fast lookups by each request. */
 
 import {canonicalPath} from './requestPath';
 import type {
@@ -15,7 +15,7 @@
 import {ANY_CUSTOMER} from './crossCheck';
 import {DEFAULT_LIMIT, DEFAULT_SHARE, DEFAULT_WARMUP} from './ruleDefaults';
 
-/** A pool that may take a request; the weight is above 0. */
+/** A pool that a request may be routed to; its weight is above 0. */
 export interface RouteCandidate {
   readonly pool: string;
   readonly weight: number;
@@ -23,7 +23,7 @@
   readonly line: number;
 }
 
-/** Limits of a pool, defaults filled in. */
+/** Limits of a pool, with defaults filled in. */
 export type PoolLimit = Pick<
   LimitRule,
   | 'timeoutMs'
@@ -33,17 +33,17 @@
   | 'hedgeAfterMs'
 >;
 
-/** Ramp of a pool, defaults filled in. */
+/** Concurrency ramp of a pool, with defaults filled in. */
 export type PoolWarmup = Pick<WarmupRule, 'start' | 'full' | 'overMs'>;
 
-interface Prefix<T> {
+interface PrefixEntry<T> {
   readonly path: string;
   readonly value: T;
 }
 
-/** Values by path prefix; the longest prefix wins. */
+/** Finds values by path prefix; the longest matching prefix wins. */
 class PrefixTable<T> {
-  private readonly entries: readonly Prefix<T>[];
+  private readonly entries: readonly PrefixEntry<T>[];
 
   constructor(values: ReadonlyMap<string, T>) {
     this.entries = [...values]
@@ -88,12 +88,12 @@
 
 function mapValues<K, V, W>(
   map: ReadonlyMap<K, V>,
-  change: (value: V) => W
+  transform: (value: V) => W
 ): ReadonlyMap<K, W> {
-  return new Map([...map].map(([key, value]) => [key, change(value)]));
+  return new Map([...map].map(([key, value]) => [key, transform(value)]));
 }
 
-/** One rule set, ready to be asked. Never changes. */
+/** An immutable index of one rule set. */
 export class RuleIndex {
   readonly revision: number;
   private readonly poolRules = new Map<string, PoolRule>();
@@ -101,7 +101,7 @@
   private readonly limits = new Map<string, LimitRule>();
   private readonly warmups = new Map<string, WarmupRule>();
   private readonly rebalances = new Map<string, RebalanceRule>();
-  private readonly serveRules: ReadonlyMap<string, readonly ServeRule[]>;
+  private readonly serveRulesByPool: ReadonlyMap<string, readonly ServeRule[]>;
   private readonly zonesOut = new Set<string>();
   private readonly routeTables: ReadonlyMap<string, RouteTable>;
   private readonly onceTables: ReadonlyMap<string, PrefixTable<OnceRule>>;
@@ -123,7 +123,7 @@
       if (rule.kind === 'once') once.push(rule);
       if (rule.kind === 'serve') serve.push(rule);
     }
-    this.serveRules = groupBy(serve, rule => rule.pool);
+    this.serveRulesByPool = groupBy(serve, rule => rule.pool);
     const byCustomer = groupBy(routes, rule => rule.customer);
     this.routeTables = mapValues(byCustomer, routeTable);
     const byMethod = groupBy(once, rule => rule.method);
@@ -134,7 +134,7 @@
     return this.customers.has(customer);
   }
 
-  /** Weight in fair queues. */
+  /** Weight of the customer in fair queues. */
   share(customer: string): number {
     return this.customers.get(customer)?.share ?? DEFAULT_SHARE;
   }
@@ -144,8 +144,9 @@
   }
 
   /**
-   * Pools that may take the request, with weights; empty without a route. A
-   * customer's own routes go before those of `any`, then the longest prefix.
+   * Pools that the request may be routed to, with weights; empty if no route
+   * matches. A customer's own routes take precedence over those of `any`;
+   * among them the longest matching path prefix wins.
    */
   routes(customer: string, requestTarget: string): readonly RouteCandidate[] {
     const path = canonicalPath(requestTarget);
@@ -154,7 +155,9 @@
     return shared ?? [];
   }
 
-  /** The rule that makes a call non-idempotent; none when it is idempotent. */
+  /**
+   * The rule that makes a call non-idempotent; undefined if it is idempotent.
+   */
   onceRule(method: string, requestTarget: string): OnceRule | undefined {
     return this.onceTables.get(method)?.find(canonicalPath(requestTarget));
   }
@@ -167,23 +170,31 @@
     return this.warmups.get(pool) ?? DEFAULT_WARMUP;
   }
 
-  /** A zone that no line names is in service. */
+  /**
+   * Whether the zone is out of service; zones without a line are in service.
+   */
   isZoneOut(availabilityZone: string): boolean {
     return this.zonesOut.has(availabilityZone);
   }
 
-  /** Undefined when experts of the pool stay where they are. */
+  /**
+   * The rebalance rule of the pool; undefined if rebalancing is off or not
+   * configured.
+   */
   rebalance(pool: string): RebalanceRule | undefined {
     const rule = this.rebalances.get(pool);
     return rule?.state === 'on' ? rule : undefined;
   }
 
-  /** Models that targets of the pool are given; none leaves all as they are. */
+  /**
+   * Models to assign to the targets of the pool; if empty, their models are not
+   * changed.
+   */
   serves(pool: string): readonly ServeRule[] {
-    return this.serveRules.get(pool) ?? [];
+    return this.serveRulesByPool.get(pool) ?? [];
   }
 
-  /** Whether rules say which models the pool serves, this one among them. */
+  /** Whether a `serve` line assigns the model to the pool. */
   servesModel(pool: string, model: string): boolean {
     return this.serves(pool).some(rule => rule.model === model);
   }
--- a/src/rules/ruleProblem.ts
+++ b/src/rules/ruleProblem.ts
@@ -1,13 +1,16 @@
-/** Faults of a rule file, as shown to the operator. */
+/** Problems of a rule file, as shown to operators. */
 
-/** One fault; line and column count from 1. */
+/** A problem and its position; lines and columns count from 1. */
 export interface RuleProblem {
   readonly line: number;
   readonly column: number;
   readonly reason: string;
 }
 
-/** `rules.txt:3:7: reason`, the form that editors can jump to. */
+/**
+ * Formats a problem as `rules.txt:3:7: reason`, which editors can link to the
+ * position.
+ */
 export function formatProblem(file: string, problem: RuleProblem): string {
   return `${file}:${problem.line}:${problem.column}: ${problem.reason}`;
 }
--- a/src/rules/ruleSchema.ts
+++ b/src/rules/ruleSchema.ts
@@ -1,10 +1,13 @@
-/** The words of the rule file, each with its values, as one union. */
+/** Schema of the lines of a rule file, as a union over their first words. */
 
 import * as z from 'zod';
 import {integer, name, oneOf, rangeOf} from '../core/textSchemas';
 import {duration, pathPrefix, percent} from './fieldSchemas';
 
-/** Lines by their first word. Keys are spelled as in the file. */
+/**
+ * The values of a line, discriminated by its first word, with keys as in the
+ * file.
+ */
 export const RULE_SCHEMA = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('revision'),
@@ -72,51 +75,54 @@
   }),
 ]);
 
-/** One typed line, still with the keys of the file. */
+/** The parsed values of a line, with keys as in the file. */
 export type RuleValues = z.infer<typeof RULE_SCHEMA>;
 
 /** The first word of a line. */
-export type RuleWord = RuleValues['kind'];
+export type RuleKeyword = RuleValues['kind'];
 
-/** Values that stand by their place and not as `key=value`. */
-export const POSITIONAL: Readonly<Record<RuleWord, readonly string[]>> = {
-  revision: ['number'],
-  pool: ['pool', 'targets'],
-  route: [],
-  customer: ['customer'],
-  once: ['method', 'path'],
-  warmup: ['pool'],
-  limit: ['pool'],
-  zone: ['zone', 'state'],
-  rebalance: ['pool', 'state'],
-  serve: ['pool', 'model'],
-};
+/** Keys whose values are positional instead of `key=value`, in order. */
+export const POSITIONAL_KEYS: Readonly<Record<RuleKeyword, readonly string[]>> =
+  {
+    revision: ['number'],
+    pool: ['pool', 'targets'],
+    route: [],
+    customer: ['customer'],
+    once: ['method', 'path'],
+    warmup: ['pool'],
+    limit: ['pool'],
+    zone: ['zone', 'state'],
+    rebalance: ['pool', 'state'],
+    serve: ['pool', 'model'],
+  };
 
-/** One value of a line, for messages and the page for operators. */
+/**
+ * Describes a value of a line, for problems and for the operator documentation.
+ */
 export interface RuleField {
   readonly key: string;
   readonly positional: boolean;
   readonly optional: boolean;
-  /** Accepted values in words. */
+  /** The accepted values, as text. */
   readonly range: string;
 }
 
 function describeFields(
-  option: (typeof RULE_SCHEMA.options)[number]
-): readonly [RuleWord, readonly RuleField[]] {
-  const word = option.shape.kind.value;
-  const fields = Object.entries(option.shape as Record<string, z.ZodType>)
+  lineSchema: (typeof RULE_SCHEMA.options)[number]
+): readonly [RuleKeyword, readonly RuleField[]] {
+  const keyword = lineSchema.shape.kind.value;
+  const fields = Object.entries(lineSchema.shape as Record<string, z.ZodType>)
     .filter(([key]) => key !== 'kind')
     .map(([key, schema]) => ({
       key,
-      positional: POSITIONAL[word].includes(key),
+      positional: POSITIONAL_KEYS[keyword].includes(key),
       optional: schema instanceof z.ZodOptional,
       range: rangeOf(schema),
     }));
-  return [word, fields];
+  return [keyword, fields];
 }
 
-/** The fields of every word, in the order in which they are printed. */
+/** Fields of each kind of line, in the order in which they are printed. */
 export const RULE_FIELDS: ReadonlyMap<string, readonly RuleField[]> = new Map(
   RULE_SCHEMA.options.map(describeFields)
 );
--- a/src/rules/toRule.ts
+++ b/src/rules/toRule.ts
@@ -1,4 +1,4 @@
-/** Turns the values of one line into a rule, with defaults filled in. */
+/** Converts the parsed values of a line to a rule, with defaults filled in. */
 
 import {unreachable} from '../core/errors';
 import type {Rule} from './rule';
@@ -9,14 +9,14 @@
 } from './ruleDefaults';
 import type {RuleValues} from './ruleSchema';
 
-interface Origin {
+interface RuleOrigin {
   readonly line: number;
   readonly askedBy: string;
 }
 
 type LimitValues = Extract<RuleValues, {kind: 'limit'}>;
 
-function limitRule(values: LimitValues, origin: Origin): Rule {
+function limitRule(values: LimitValues, origin: RuleOrigin): Rule {
   return {
     ...origin,
     kind: 'limit',
@@ -30,8 +30,8 @@
   };
 }
 
-/** The rule that a checked line states. */
-export function toRule(values: RuleValues, origin: Origin): Rule {
+/** Returns the rule of a validated line. */
+export function toRule(values: RuleValues, origin: RuleOrigin): Rule {
   switch (values.kind) {
     case 'revision':
       return {...origin, kind: 'revision', revision: values.number};
--- a/src/rules/tokenizeLine.ts
+++ b/src/rules/tokenizeLine.ts
@@ -1,15 +1,15 @@
-/** Splits one line of the rule file into words and its comment. */
+/** Splits a line of a rule file into words and a comment. */
 
 import {parse} from 'shell-quote';
 import type {ParseEntry} from 'shell-quote';
 
-/** One word; the column counts from 1. */
+/** A word or comment; its column counts from 1. */
 export interface Word {
   readonly text: string;
   readonly column: number;
 }
 
-/** What a line holds, or the one fault that keeps it from being read. */
+/** The words and comment of a line, or the first problem in it. */
 export type TokenizedLine =
   | {
       readonly ok: true;
@@ -18,20 +18,23 @@
     }
   | {readonly ok: false; readonly column: number; readonly reason: string};
 
-/** Longest line taken, in characters. */
+/** Length limit of a line, in characters. */
 const MAX_LINE_LENGTH = 1000;
-const CONTROL_CHARACTER = /[\p{Cc}\p{Cf}\u2028\u2029]/u;
+const CONTROL_OR_FORMAT_CHARACTER = /[\p{Cc}\p{Cf}\u2028\u2029]/u;
 const PLAIN_WORDS_ONLY =
   'quotes, backslashes and "$" have no meaning here; write plain words';
 
-function failure(column: number, reason: string): TokenizedLine {
+function failAt(column: number, reason: string): TokenizedLine {
   return {ok: false, column, reason};
 }
 
-/** No variable has a value, so a word with one differs from its source. */
+/**
+ * Expands variables to nothing, so that a word with a variable differs from its
+ * source and is detected.
+ */
 const NO_VARIABLES: Readonly<Record<string, string>> = Object.create(null);
 
-function tokens(line: string): readonly ParseEntry[] | undefined {
+function parseTokens(line: string): readonly ParseEntry[] | undefined {
   try {
     return parse(line, NO_VARIABLES);
   } catch {
@@ -45,14 +48,14 @@
   return `"${'op' in entry ? entry.op : ''}" has no meaning here`;
 }
 
-/** Column, from 0, of the first character after any blanks. */
+/** Index, from 0, of the next non-blank character; the line length if none. */
 function skipBlanks(line: string, from: number): number {
   const offset = line.slice(from).search(/\S/);
   return offset < 0 ? line.length : from + offset;
 }
 
-/** Places each token in the line; shell-quote itself gives no columns. */
-function placeTokens(
+/** Finds the column of each token, which shell-quote does not report. */
+function locateTokens(
   line: string,
   entries: readonly ParseEntry[]
 ): TokenizedLine {
@@ -62,49 +65,49 @@
     const start = skipBlanks(line, end);
     const column = start + 1;
     if (typeof entry === 'object' && 'comment' in entry)
-      return placeComment(line, start, end, words, entry.comment);
-    if (typeof entry === 'object')
-      return failure(column, operatorReason(entry));
-    // A quoted or escaped word differs from its source; a stray quote, which
-    // shell-quote skips, leaves a gap. Both would make the text ambiguous.
+      return locateComment(line, start, end, words, entry.comment);
+    if (typeof entry === 'object') return failAt(column, operatorReason(entry));
+    // Quoted and escaped words differ from their source, and an unmatched
+    // quote,
+    // which shell-quote skips, leaves a gap. Both are rejected as ambiguous.
     if (!line.startsWith(entry, start) || entry === '')
-      return failure(column, PLAIN_WORDS_ONLY);
+      return failAt(column, PLAIN_WORDS_ONLY);
     if (start === end && words.length > 0)
-      return failure(column, 'put a blank between the words');
+      return failAt(column, 'put a blank between the words');
     words.push({text: entry, column});
     end = start + entry.length;
   }
   const rest = skipBlanks(line, end);
-  if (rest < line.length) return failure(rest + 1, PLAIN_WORDS_ONLY);
+  if (rest < line.length) return failAt(rest + 1, PLAIN_WORDS_ONLY);
   return {ok: true, words};
 }
 
-function placeComment(
+function locateComment(
   line: string,
   start: number,
   end: number,
   words: readonly Word[],
   comment: string
 ): TokenizedLine {
-  if (line[start] !== '#') return failure(start + 1, PLAIN_WORDS_ONLY);
+  if (line[start] !== '#') return failAt(start + 1, PLAIN_WORDS_ONLY);
   if (start === end && words.length > 0)
-    return failure(start + 1, 'put a blank before "#"');
+    return failAt(start + 1, 'put a blank before "#"');
   return {ok: true, words, comment: {text: comment, column: start + 1}};
 }
 
-/** Words and comment of one line, without its line end. */
+/** Tokenizes a line, given without its line terminator. */
 export function tokenizeLine(line: string): TokenizedLine {
   if (line.length > MAX_LINE_LENGTH)
-    return failure(
+    return failAt(
       MAX_LINE_LENGTH + 1,
       `the line is longer than ${MAX_LINE_LENGTH} characters`
     );
-  const blanked = line.replaceAll('\t', ' ');
-  const control = blanked.search(CONTROL_CHARACTER);
+  const withoutTabs = line.replaceAll('\t', ' ');
+  const control = withoutTabs.search(CONTROL_OR_FORMAT_CHARACTER);
   if (control >= 0)
-    return failure(control + 1, 'control characters are not allowed');
-  const entries = tokens(blanked);
+    return failAt(control + 1, 'control characters are not allowed');
+  const entries = parseTokens(withoutTabs);
   if (entries === undefined)
-    return failure(blanked.indexOf('$') + 1, PLAIN_WORDS_ONLY);
-  return placeTokens(blanked, entries);
+    return failAt(withoutTabs.indexOf('$') + 1, PLAIN_WORDS_ONLY);
+  return locateTokens(withoutTabs, entries);
 }
