--- a/src/settings/describeSettings.ts
+++ b/src/settings/describeSettings.ts
@@ -1,4 +1,6 @@
-/** The settings of a role as a table, for the page for operators. */
+/**
+ * Lists the settings of a role, for the table in the operator documentation.
+ */
 
 import * as z from 'zod';
 import {rangeOf} from '../core/textSchemas';
@@ -10,7 +12,7 @@
 export interface SettingDescription {
   readonly section: string;
   readonly key: string;
-  /** Value when left out; undefined when there is none. */
+  /** Value if the key is absent; undefined if it has no default. */
   readonly defaultValue?: string;
   readonly required: boolean;
   readonly range: string;
@@ -22,18 +24,18 @@
   key: string,
   schema: z.ZodType
 ): SettingDescription {
-  const filled = schema instanceof z.ZodDefault;
+  const hasDefault = schema instanceof z.ZodDefault;
   return {
     section,
     key,
-    defaultValue: filled ? String(schema.def.defaultValue) : undefined,
-    required: !filled && !(schema instanceof z.ZodOptional),
+    defaultValue: hasDefault ? String(schema.def.defaultValue) : undefined,
+    required: !hasDefault && !(schema instanceof z.ZodOptional),
     range: rangeOf(schema),
     meaning: meaningOf(schema),
   };
 }
 
-/** All keys of a role, in the order of its sections. */
+/** Returns all keys of a role, in the order of its sections. */
 export function describeSettings(
   role: SettingsRole
 ): readonly SettingDescription[] {
--- a/src/settings/loadSettings.ts
+++ b/src/settings/loadSettings.ts
@@ -1,4 +1,4 @@
-/** Loads the settings of a role; anything wrong is a ConfigError. */
+/** Loads and validates settings; throws a ConfigError with all problems. */
 
 import {readFileSync} from 'node:fs';
 import path from 'node:path';
@@ -18,14 +18,17 @@
   SharedSecrets,
 } from './settings';
 
-type AnyValues = SettingsValues<SettingsRole>;
-/** Roles whose processes prove themselves to each other by a secret. */
-type SecretValues = Extract<AnyValues, {internal: unknown}>;
+type AnyRoleValues = SettingsValues<SettingsRole>;
+/** Values of the roles that have an [internal] section with a shared secret. */
+type InternalRoleValues = Extract<AnyRoleValues, {internal: unknown}>;
 
-/** A proof must outlive a few polls, or one late answer would stop service. */
+/**
+ * Minimum ratio of proof-ms to poll-ms. Below it, a single late poll response
+ * would let the proof expire and stop service.
+ */
 const MIN_POLLS_PER_PROOF = 4;
 
-function failureText(err: unknown): string {
+function errorText(err: unknown): string {
   return err instanceof Error ? err.message : String(err);
 }
 
@@ -33,7 +36,7 @@
   try {
     return readFileSync(file, 'utf8');
   } catch (err) {
-    throw new ConfigError([`${file}: ${failureText(err)}`]);
+    throw new ConfigError([`${file}: ${errorText(err)}`]);
   }
 }
 
@@ -41,63 +44,63 @@
 
 function readKeyFile(
   name: SecretName,
-  place: string,
+  keyFile: string,
   problems: string[]
 ): string {
   try {
-    const text = readFileSync(place, 'utf8').trim();
+    const text = readFileSync(keyFile, 'utf8').trim();
     if (secret().safeParse(text).success) return text;
     problems.push(`[internal] ${name}-file must hold ${rangeOf(secret())}`);
   } catch (err) {
-    problems.push(`[internal] ${name}-file: ${failureText(err)}`);
+    problems.push(`[internal] ${name}-file: ${errorText(err)}`);
   }
   return '';
 }
 
-/** A shared secret, given in the file or in a file of its own. */
+/** Reads a shared secret from the settings or from the file that they name. */
 function readSecret(
   file: string,
   name: SecretName,
-  internal: SecretValues['internal'],
+  internal: InternalRoleValues['internal'],
   problems: string[]
 ): string | undefined {
-  const given: Readonly<Partial<Record<string, unknown>>> = internal;
-  const text = given[name] as string | undefined;
-  const place = given[`${name}-file`] as string | undefined;
-  if (text !== undefined && place !== undefined) {
+  const values: Readonly<Partial<Record<string, unknown>>> = internal;
+  const text = values[name] as string | undefined;
+  const keyFile = values[`${name}-file`] as string | undefined;
+  if (text !== undefined && keyFile !== undefined) {
     problems.push(`[internal] give either ${name} or ${name}-file`);
     return undefined;
   }
-  if (place === undefined) return text;
-  return readKeyFile(name, path.resolve(path.dirname(file), place), problems);
+  if (keyFile === undefined) return text;
+  return readKeyFile(name, path.resolve(path.dirname(file), keyFile), problems);
 }
 
 function readSecrets(
   file: string,
-  internal: SecretValues['internal'],
+  internal: InternalRoleValues['internal'],
   problems: string[]
 ): SharedSecrets {
   const key = readSecret(file, 'key', internal, problems);
   if (key === undefined && problems.length === 0)
     problems.push('[internal] give either key or key-file');
   const acceptKey = readSecret(file, 'accept-key', internal, problems);
-  // Both would be told apart by that name alone.
+  // Servers choose the key by its name, so the two names must differ.
   if (acceptKey !== undefined && keyName(acceptKey) === keyName(key ?? ''))
     problems.push('[internal] accept-key must be another than key');
   return {key: key ?? '', acceptKey};
 }
 
-function checkProcess(values: AnyValues, problems: string[]): void {
+function checkMetricsAddress(values: AnyRoleValues, problems: string[]): void {
   if (!('process' in values)) return;
   const {process} = values;
-  const both =
+  const areBothOrNeitherSet =
     (process['metrics-host'] === undefined) ===
     (process['metrics-port'] === undefined);
-  if (!both)
+  if (!areBothOrNeitherSet)
     problems.push('[process] metrics-host and metrics-port go together');
 }
 
-function checkProof(values: AnyValues, problems: string[]): void {
+function checkProofAge(values: AnyRoleValues, problems: string[]): void {
   if (!('control' in values)) return;
   const {control} = values;
   if (!('proof-ms' in control)) return;
@@ -107,8 +110,11 @@
     );
 }
 
-/** A control instance is reached at the address that the others know. */
-function checkOwnAddress(values: AnyValues, problems: string[]): void {
+/**
+ * Checks that a control instance listens at the address in `instances`, where
+ * others connect.
+ */
+function checkOwnAddress(values: AnyRoleValues, problems: string[]): void {
   if (!('data' in values && 'control' in values)) return;
   const {process, internal, control} = values;
   const own = control.instances.find(item => item.id === process.id);
@@ -126,7 +132,7 @@
 
 type Section = Readonly<Record<string, unknown>>;
 
-function camelKeys(section: Section): Section {
+function withCamelCaseKeys(section: Section): Section {
   return Object.fromEntries(
     Object.entries(section).map(([key, value]) => [camelCase(key), value])
   );
@@ -148,14 +154,14 @@
         ? {...secrets}
         : {port: section.port, ...secrets};
     default:
-      return camelKeys(section);
+      return withCamelCaseKeys(section);
   }
 }
 
-/** Rebuilds the values under the names that the code uses. */
+/** Converts the parsed values to the section and key names of the code. */
 function toSettings<R extends SettingsRole>(
   file: string,
-  values: AnyValues,
+  values: AnyRoleValues,
   secrets: SharedSecrets | undefined
 ): SettingsOf<R> {
   const sections = Object.entries(values).map(([name, section]) => [
@@ -165,7 +171,7 @@
   return Object.fromEntries(sections) as SettingsOf<R>;
 }
 
-/** Loads the settings of any role. */
+/** Loads the settings of a role given by name. */
 export function loadSettings<R extends SettingsRole>(
   role: R,
   file: string
@@ -173,14 +179,14 @@
   const read = readSections(role, readText(file));
   if (!read.ok)
     throw new ConfigError(read.problems.map(text => `${file}: ${text}`));
-  const values: AnyValues = read.values;
+  const values: AnyRoleValues = read.values;
   const problems: string[] = [];
   const secrets =
     'internal' in values
       ? readSecrets(file, values.internal, problems)
       : undefined;
-  checkProcess(values, problems);
-  checkProof(values, problems);
+  checkMetricsAddress(values, problems);
+  checkProofAge(values, problems);
   checkOwnAddress(values, problems);
   if (problems.length > 0)
     throw new ConfigError(problems.map(text => `${file}: ${text}`));
--- a/src/settings/sections.ts
+++ b/src/settings/sections.ts
@@ -1,9 +1,11 @@
-/** The settings of each role: one schema a section, keys as in the file. */
+/**
+ * Schemas of the settings of each role by section, with keys as in the file.
+ */
 
 import * as z from 'zod';
 import {integer, name, oneOf, textSchema} from '../core/textSchemas';
 import {
-  addressList,
+  ipAddressList,
   anyPort,
   decimal,
   filePath,
@@ -36,7 +38,7 @@
   'metrics-port': setting(fixedPort().optional(), 'UDP port of metrics-host'),
 });
 
-const SECRET = {
+const SECRET_KEYS = {
   key: setting(
     secret().optional(),
     'secret that all processes share; either this or key-file'
@@ -44,7 +46,7 @@
   'key-file': setting(filePath().optional(), 'file that holds the secret'),
 };
 
-const ACCEPTED_SECRET = {
+const ACCEPTED_SECRET_KEYS = {
   'accept-key': setting(
     secret().optional(),
     'second secret to accept while one replaces the other; never offered'
@@ -57,14 +59,14 @@
 
 const INTERNAL = z.strictObject({
   port: setting(anyPort().default(0), 'port for the other processes'),
-  ...SECRET,
-  ...ACCEPTED_SECRET,
+  ...SECRET_KEYS,
+  ...ACCEPTED_SECRET_KEYS,
 });
 
-const INTERNAL_FIXED = z.strictObject({
+const INTERNAL_FIXED_PORT = z.strictObject({
   port: setting(fixedPort(), 'port for the other processes'),
-  ...SECRET,
-  ...ACCEPTED_SECRET,
+  ...SECRET_KEYS,
+  ...ACCEPTED_SECRET_KEYS,
 });
 
 const INSTANCES = setting(instanceList(), 'all control instances');
@@ -148,7 +150,7 @@
 const NODE_CLUSTER = z.strictObject({
   port: setting(fixedPort(), 'port for the other nodes, the same on all'),
   seeds: setting(
-    addressList(),
+    ipAddressList(),
     'nodes to ask first for the others; HOST or HOST:PORT, separated by commas'
   ),
   'first-start': setting(
@@ -206,7 +208,7 @@
   ),
 });
 
-/** Sections of the settings by role. */
+/** Settings schemas by role. */
 export const SECTIONS = {
   entry: z.strictObject({
     process: PROCESS,
@@ -223,7 +225,7 @@
   }),
   control: z.strictObject({
     process: PROCESS,
-    internal: INTERNAL_FIXED,
+    internal: INTERNAL_FIXED_PORT,
     control: z.strictObject({instances: INSTANCES}),
     data: DATA,
   }),
@@ -234,15 +236,15 @@
     bounds: BOUNDS,
   }),
   client: z.strictObject({
-    internal: z.strictObject(SECRET),
+    internal: z.strictObject(SECRET_KEYS),
     control: CLIENT_CONTROL,
   }),
 } as const;
 
-/** Who reads a settings file. */
+/** A kind of process, or the client, with its own settings file. */
 export type SettingsRole = keyof typeof SECTIONS;
 
-/** Values of one role, keys as in the file. */
+/** Validated values of a role, with keys as in the file. */
 export type SettingsValues<R extends SettingsRole> = z.infer<
   (typeof SECTIONS)[R]
 >;
--- a/src/settings/settingSchemas.ts
+++ b/src/settings/settingSchemas.ts
@@ -1,36 +1,40 @@
-/** Values that only settings have, and the meaning beside each key. */
+/**
+ * Schemas of values that only settings have, and the meanings of their keys.
+ */
 
 import {isIP} from 'node:net';
 import type {z} from 'zod';
 import {name, textSchema, within} from '../core/textSchemas';
 
-/** Most control instances that a deployment may set aside. */
+/** Maximum number of control instances in a deployment. */
 const MAX_INSTANCES = 23;
 const MAX_PORT = 65_535;
-const SHORTEST_SECRET = 16;
-const ADDRESS = /^([^@\s]+)@(?:\[([^\]]+)\]|([^:\s]+)):(\d{1,5})$/;
+const MIN_SECRET_CHARS = 16;
+const INSTANCE_ADDRESS = /^([^@\s]+)@(?:\[([^\]]+)\]|([^:\s]+)):(\d{1,5})$/;
 const HOST_PORT = /^(?:\[([^\]]+)\]|([^:\s]+)):(\d{1,5})$/;
-const TOKEN = /^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$/;
-const NAME = name();
+const HEADER_NAME = /^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$/;
+const INSTANCE_ID = name();
 
-/** Where a control instance listens. */
+/** Id and address of a control instance. */
 export interface InstanceAddress {
   readonly id: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** Attaches what a key is for; shown on the page for operators. */
+/**
+ * Attaches the meaning of a key, which is shown in the operator documentation.
+ */
 export function setting<S extends z.ZodType>(schema: S, meaning: string): S {
   return schema.meta({meaning});
 }
 
-/** What a key is for, as given to `setting`. */
+/** Returns the meaning that `setting` attached. */
 export function meaningOf(schema: z.ZodType): string {
   return String(schema.meta()?.meaning ?? '');
 }
 
-/** An address that other processes can reach. */
+/** An IP address that other processes can connect to. */
 export function ipAddress() {
   return textSchema('an IP address of this machine, not 0.0.0.0 or ::', text =>
     isIP(text) > 0 && text !== '0.0.0.0' && text !== '::' ? text : undefined
@@ -43,55 +47,56 @@
     : undefined;
 }
 
-/** A port; 0 lets the kernel choose. */
+/** A port to listen on; for 0 the kernel chooses one. */
 export function anyPort() {
   return textSchema(`a port from 0 to ${MAX_PORT}; 0 takes a free one`, text =>
     readPort(text, 0)
   );
 }
 
-/** A port that others know beforehand. */
+/** A port that other processes are configured with, so not 0. */
 export function fixedPort() {
   return textSchema(`a port from 1 to ${MAX_PORT}`, text => readPort(text, 1));
 }
 
-/** A secret that all processes of a deployment share. */
+/** The secret shared by all processes of a deployment. */
 export function secret() {
-  return textSchema(`a text of ${SHORTEST_SECRET} characters or more`, text =>
-    text.length >= SHORTEST_SECRET ? text : undefined
+  return textSchema(`a text of ${MIN_SECRET_CHARS} characters or more`, text =>
+    text.length >= MIN_SECRET_CHARS ? text : undefined
   );
 }
 
-/** A file or folder, relative to the settings file. */
+/** Path of a file or folder, relative to the settings file. */
 export function filePath() {
   return textSchema('a path, relative to the settings file', text =>
     text.length > 0 ? text : undefined
   );
 }
 
-/** Name of an HTTP header, in lower case as Node gives it. */
+/** Name of an HTTP header, converted to lower case as in Node's headers. */
 export function headerName() {
   return textSchema('the name of an HTTP header', text =>
-    TOKEN.test(text) ? text.toLowerCase() : undefined
+    HEADER_NAME.test(text) ? text.toLowerCase() : undefined
   );
 }
 
 function readInstance(text: string): InstanceAddress | undefined {
-  const [, id = '', ipv6, ipv4, portText = ''] = ADDRESS.exec(text) ?? [];
+  const [, id = '', ipv6, ipv4, portText = ''] =
+    INSTANCE_ADDRESS.exec(text) ?? [];
   const host = ipv6 ?? ipv4 ?? '';
   const port = readPort(portText, 1);
-  if (!NAME.safeParse(id).success) return undefined;
+  if (!INSTANCE_ID.safeParse(id).success) return undefined;
   if (isIP(host) === 0 || port === undefined) return undefined;
   return {id, host, port};
 }
 
 function allDistinct(instances: readonly InstanceAddress[]): boolean {
   const ids = new Set(instances.map(item => item.id));
-  const places = new Set(instances.map(item => `${item.host} ${item.port}`));
-  return ids.size === instances.length && places.size === instances.length;
+  const addresses = new Set(instances.map(item => `${item.host} ${item.port}`));
+  return ids.size === instances.length && addresses.size === instances.length;
 }
 
-/** The control instances, separated by commas. */
+/** All control instances, separated by commas. */
 export function instanceList() {
   return textSchema(
     `1 to ${MAX_INSTANCES} different ID@IP:PORT, separated by commas`,
@@ -109,7 +114,7 @@
   );
 }
 
-/** An address and a port to listen at. */
+/** IP address and port to listen on. */
 export interface HostPort {
   readonly host: string;
   readonly port: number;
@@ -122,13 +127,13 @@
   return isIP(host) === 0 || port === undefined ? undefined : {host, port};
 }
 
-/** An address and a port to listen at. */
+/** IP address and port to listen on. */
 export function hostPort() {
   return textSchema('IP:PORT, or [IPV6]:PORT', readHostPort);
 }
 
-/** IP addresses of other nodes; a port after one of them is passed over. */
-export function addressList() {
+/** IP addresses of other nodes; ports after them are ignored. */
+export function ipAddressList() {
   return textSchema(
     'IP addresses separated by commas',
     (text): readonly string[] | undefined => {
@@ -142,7 +147,7 @@
   );
 }
 
-/** A number that need not be whole. */
+/** A number with an optional fraction. */
 export function decimal(low: number, high: number) {
   return textSchema(`a number from ${low} to ${high}`, text =>
     /^\d{1,9}(\.\d{1,9})?$/.test(text)
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,10 +1,16 @@
-/** What each role reads from its settings file. Times are milliseconds. */
+/**
+ * Types of the settings of each role. Times are in milliseconds unless the name
+ * has another unit.
+ */
 
 import type {SettingsRole, SettingsValues} from './sections';
 
-/** `max-body-bytes` in the file is `maxBodyBytes` in the code. */
-type CamelCase<S extends string> = S extends `${infer Head}-${infer Tail}`
-  ? `${Head}${Capitalize<CamelCase<Tail>>}`
+/**
+ * Converts key names: `max-body-bytes` in the file is `maxBodyBytes` in the
+ * code.
+ */
+type CamelCase<S extends string> = S extends `${infer First}-${infer Rest}`
+  ? `${First}${Capitalize<CamelCase<Rest>>}`
   : S;
 
 type CamelKeys<T> = {
@@ -17,24 +23,24 @@
   ]: K extends 'customer-keys'
     ? CustomerKeys
     : K extends 'internal'
-      ? Omit<CamelKeys<T[K]>, SecretKey> & SharedSecrets
+      ? Omit<CamelKeys<T[K]>, SecretKeyName> & SharedSecrets
       : CamelKeys<T[K]>;
 };
 
-type SecretKey = 'key' | 'keyFile' | 'acceptKey' | 'acceptKeyFile';
+type SecretKeyName = 'key' | 'keyFile' | 'acceptKey' | 'acceptKeyFile';
 
-/** The secrets themselves, wherever the file keeps them. */
+/** The shared secrets, from the settings or from the files that they name. */
 export interface SharedSecrets {
-  /** Offered, and accepted. */
+  /** Used by clients, and accepted by servers. */
   readonly key: string;
-  /** Accepted besides, while one key replaces the other. */
+  /** Also accepted by servers, while the secret is being replaced. */
   readonly acceptKey?: string;
 }
 
-/** Customer by the secret that its callers send. */
+/** Customers by the secret that their callers send. */
 export type CustomerKeys = ReadonlyMap<string, string>;
 
-/** Settings of one role. */
+/** Settings of a role, with names as in the code. */
 export type SettingsOf<R extends SettingsRole> = Sections<SettingsValues<R>>;
 
 /** Settings of an entry. */
