--- a/tests/agentPort.spec.ts
+++ b/tests/agentPort.spec.ts
@@ -7,7 +7,7 @@
 import {PROTOCOL_HEADER} from '../src/rpc/peerServer';
 import {
   AgentUnderTest,
-  DispatchChange,
+  DispatchOverrides,
   SECRET,
   dispatchTo,
   startAgent,
@@ -17,27 +17,27 @@
 import {closeTargets, later, started} from './fixtures/targets';
 
 let ledger: FakeLedger;
-let under: AgentUnderTest;
+let testAgent: AgentUnderTest;
 
 beforeEach(async () => {
   ledger = await started(new FakeLedger());
-  under = await startAgent(ledger.port);
-  await eventually('it takes work', async () => announced().limit > 0);
+  testAgent = await startAgent(ledger.port);
+  await eventually('the agent accepts work', async () => announced().limit > 0);
 });
 afterEach(closeTargets);
 
 function announced() {
-  const announcement = under.lastPoll()?.announcement;
+  const announcement = testAgent.lastPoll()?.announcement;
   if (announcement === undefined) throw new Error('not announced');
   return announcement;
 }
 
-function dispatch(change?: DispatchChange) {
-  return dispatchTo(under.port, announced().agentBootId, change);
+function dispatch(overrides?: DispatchOverrides) {
+  return dispatchTo(testAgent.port, announced().agentBootId, overrides);
 }
 
-function rejected(reason: string): number {
-  return under.metrics.snapshot()[`peer.rejected{reason=${reason}}`] ?? 0;
+function rejectionCount(reason: string): number {
+  return testAgent.metrics.snapshot()[`peer.rejected{reason=${reason}}`] ?? 0;
 }
 
 describe('internal port of an agent', () => {
@@ -46,7 +46,7 @@
       status: 503,
       reason: 'peer-version',
     });
-    expect(rejected('version')).toBe(1);
+    expect(rejectionCount('version')).toBe(1);
     expect(ledger.runs).toEqual([]);
     expect((await dispatch()).status).toBe(201);
   });
@@ -55,7 +55,7 @@
     const agent = createPeerAgent(SECRET, 'entry-0');
     later(() => agent.destroy());
     const headers = {[PROTOCOL_HEADER]: '0'};
-    const options = {host: '127.0.0.1', port: under.port, agent, headers};
+    const options = {host: '127.0.0.1', port: testAgent.port, agent, headers};
     const res = await new Promise<IncomingMessage>((resolve, reject) =>
       https
         .request({...options, method: 'POST', path: '/rpc'}, resolve)
@@ -66,57 +66,63 @@
       426,
       PROTOCOL_VERSION,
     ]);
-    expect(rejected('version')).toBe(1);
+    expect(rejectionCount('version')).toBe(1);
     expect((await dispatch()).status).toBe(201);
   });
 
-  it('should refuse a peer with another key, and serve others on', async () => {
+  it('should reject a peer with another key, and keep serving others', async () => {
     await expect(dispatch({secret: 'another secret'})).rejects.toThrow();
-    await eventually('a count', async () => rejected('handshake') === 1);
+    await eventually(
+      'the rejection is counted',
+      async () => rejectionCount('handshake') === 1
+    );
     expect((await dispatch()).status).toBe(201);
   });
 
-  it('should drop garbage, and serve others on', async () => {
-    expect(await sendBytes(under.port, 'GET / HTTP/1.1\r\n\r\n')).toBe('');
-    await eventually('a count', async () => rejected('handshake') === 1);
+  it('should drop garbage, and keep serving others', async () => {
+    expect(await sendBytes(testAgent.port, 'GET / HTTP/1.1\r\n\r\n')).toBe('');
+    await eventually(
+      'the rejection is counted',
+      async () => rejectionCount('handshake') === 1
+    );
     expect((await dispatch()).status).toBe(201);
   });
 
-  // An entry hears of the leaving one poll late and sends a call meanwhile. A
-  // port that is closed at once, or closes on it, leaves the outcome open; a
-  // refusal says "not run" for sure.
+  // An entry learns one poll late that the agent is leaving, and may dispatch
+  // to it meanwhile. If the port closed at once, or during the call, the
+  // outcome would be unknown. A refusal states that the call has not run.
   it('should refuse late dispatches for a while when it leaves', async () => {
-    const ended = under.agent.drain();
+    const drained = testAgent.agent.drain();
     for (let i = 0; i < 10; i++)
       expect((await dispatch()).reason).toBe('target-leaving');
     expect(ledger.runs).toEqual([]);
-    await ended;
+    await drained;
   });
 
-  // The entry goes away while the target works on a call that may run once.
-  // The answer still comes, with nobody to relay it to. Waiting for that
-  // connection would keep the slot for ever, and leave the claim running.
+  // The entry disconnects while the target works on a non-idempotent call, so
+  // the response can't be relayed. Waiting for the closed connection would
+  // occupy the slot forever, and leave the claim in state "running".
   it.each(['/assign', '/big?bytes=1000000'])(
     'should end a call to %s whose entry went away',
     async path => {
       ledger.breakNext({kind: 'answerLate', ms: 200});
-      const gone = new AbortController();
+      const disconnect = new AbortController();
       const claim = {key: 'key', attempt: 1};
       const call = dispatch({
         dispatch: {idempotent: false, claim},
-        signal: gone.signal,
+        signal: disconnect.signal,
         path,
       });
-      await eventually('it runs', async () => ledger.runs.length === 1);
-      gone.abort();
+      await eventually('the call runs', async () => ledger.runs.length === 1);
+      disconnect.abort();
       await expect(call).rejects.toThrow();
-      const known = await eventually('it ran', async () => {
-        const said = await ask({customer: 'harbour', ...claim});
-        return said.kind === 'ran' && said;
+      const state = await eventually('the claim has run', async () => {
+        const reply = await fenceClaim({customer: 'harbour', ...claim});
+        return reply.kind === 'ran' && reply;
       });
-      // An answer too large to be kept is lost, and said to be.
-      if (path === '/assign') expect(known.answer).toMatchObject({status: 201});
-      else expect(known.answer).toBeUndefined();
+      // A response that is too large to keep is missing from the reply.
+      if (path === '/assign') expect(state.answer).toMatchObject({status: 201});
+      else expect(state.answer).toBeUndefined();
       await eventually('the slot is free', async () => {
         return announced().outstanding === 0;
       });
@@ -124,16 +130,12 @@
   );
 });
 
-/** Asks the agent what became of a claim. */
-function ask(claim: object): Promise<{kind: string; answer?: unknown}> {
+/** Queries the agent for the state of a claim. */
+function fenceClaim(claim: object): Promise<{kind: string; answer?: unknown}> {
   const agent = createPeerAgent(SECRET, 'entry-1');
   later(() => agent.destroy());
-  const address = {id: 'agent-0', host: '127.0.0.1', port: under.port};
+  const address = {id: 'agent-0', host: '127.0.0.1', port: testAgent.port};
   const {agentBootId} = announced();
-  const question = {...claim, agentBootId};
-  return new PeerClient(address, agent).call(
-    METHODS.fenceClaim,
-    question,
-    1_000
-  );
+  const params = {...claim, agentBootId};
+  return new PeerClient(address, agent).call(METHODS.fenceClaim, params, 1_000);
 }
--- a/tests/answerHead.spec.ts
+++ b/tests/answerHead.spec.ts
@@ -8,27 +8,33 @@
 
 afterEach(closeTargets);
 
-describe('head of an answer', () => {
+describe('head of a response', () => {
   it('should reach the entry before the body has begun', async () => {
-    // A feed answers with its head and has nothing to tell yet. Its caller
-    // waits for the head; held back for a first chunk, it would come only with
-    // the first event, and the entry would call the target silent before.
+    // An event feed sends its response head before it has any event. If the
+    // agent held the head back for the first chunk, it would reach the caller
+    // with the first event only, and the entry would time out on the target.
     const {port} = await scripted((_req, res) => {
       res.writeHead(200, {'content-type': 'text/plain'});
       res.flushHeaders();
     });
-    const under = await startAgent(port);
-    const told = () => under.lastPoll()?.announcement;
-    await eventually('it takes work', async () => (told()?.limit ?? 0) > 0);
+    const testAgent = await startAgent(port);
+    const lastAnnouncement = () => testAgent.lastPoll()?.announcement;
+    await eventually(
+      'the agent accepts work',
+      async () => (lastAnnouncement()?.limit ?? 0) > 0
+    );
     const agent = createPeerAgent(SECRET, 'entry-0');
     later(() => agent.destroy());
-    const dispatch = {...DISPATCH, agentBootId: told()?.agentBootId};
+    const dispatch = {
+      ...DISPATCH,
+      agentBootId: lastAnnouncement()?.agentBootId,
+    };
     const headers = {
       [PROTOCOL_HEADER]: PROTOCOL_VERSION,
       'marlpulley-dispatch': JSON.stringify(dispatch),
     };
     const status = await new Promise((resolve, reject) => {
-      const options = {host: '127.0.0.1', port: under.port, agent, headers};
+      const options = {host: '127.0.0.1', port: testAgent.port, agent, headers};
       const req = https.request({...options, path: '/feed'}, res => {
         resolve(res.statusCode);
         req.destroy();
--- a/tests/docs.spec.ts
+++ b/tests/docs.spec.ts
@@ -8,25 +8,28 @@
 import {describeSettings} from '../src/settings/describeSettings';
 
 const ROOT = path.join(__dirname, '..');
-const SKIPPED = new Set(['node_modules', 'dist', '.git', 'coverage']);
+const SKIPPED_FOLDERS = new Set(['node_modules', 'dist', '.git', 'coverage']);
 
 function markdownFiles(folder: string): readonly string[] {
   return readdirSync(folder, {withFileTypes: true}).flatMap(entry => {
-    if (SKIPPED.has(entry.name)) return [];
-    const place = path.join(folder, entry.name);
-    if (entry.isDirectory()) return markdownFiles(place);
-    return entry.name.endsWith('.md') ? [place] : [];
+    if (SKIPPED_FOLDERS.has(entry.name)) return [];
+    const file = path.join(folder, entry.name);
+    if (entry.isDirectory()) return markdownFiles(file);
+    return entry.name.endsWith('.md') ? [file] : [];
   });
 }
 
-const PAGE = readFileSync(path.join(ROOT, 'docs', 'OPERATORS.md'), 'utf8');
+const OPERATORS_PAGE = readFileSync(
+  path.join(ROOT, 'docs', 'OPERATORS.md'),
+  'utf8'
+);
 
-/** Rows of the first table below a heading, cells without marks and blanks. */
-function table(heading: string): readonly (readonly string[])[] {
-  const start = PAGE.indexOf(`# ${heading}\n`);
+/** Rows of the first table below a heading, without backticks and padding. */
+function firstTableBelow(heading: string): readonly (readonly string[])[] {
+  const start = OPERATORS_PAGE.indexOf(`# ${heading}\n`);
   if (start < 0) throw new Error(`no heading "${heading}"`);
-  const [, below = ''] = PAGE.slice(start).split(/\n\n(?=\|)/);
-  const lines = (below.split('\n\n')[0] ?? '').trim().split('\n');
+  const [, tableText = ''] = OPERATORS_PAGE.slice(start).split(/\n\n(?=\|)/);
+  const lines = (tableText.split('\n\n')[0] ?? '').trim().split('\n');
   return lines
     .slice(2)
     .map(line => line.split('|').slice(1, -1))
@@ -44,7 +47,7 @@
         key.range,
         key.meaning,
       ]);
-      expect(table(`Settings of ${role}`)).toEqual(expected);
+      expect(firstTableBelow(`Settings of ${role}`)).toEqual(expected);
     }
   );
 
@@ -57,7 +60,9 @@
         field.range,
       ])
     );
-    expect(table('Values').map(row => row.slice(0, 4))).toEqual(expected);
+    expect(firstTableBelow('Values').map(row => row.slice(0, 4))).toEqual(
+      expected
+    );
   });
 
   it('should list every refusal and what to do about it', () => {
@@ -68,23 +73,23 @@
       kind.retryable ? 'yes' : 'no',
       kind.meaning,
     ]);
-    const rows = table('Refusals');
+    const rows = firstTableBelow('Refusals');
     expect(rows.map(row => row.slice(0, 5))).toEqual(expected);
     for (const row of rows) expect(row[5]).toMatch(/\w/);
   });
 
   it('should list every counter', () => {
-    expect(table('Counters')).toEqual(Object.entries(METRICS));
+    expect(firstTableBelow('Counters')).toEqual(Object.entries(METRICS));
   });
 
   it('should list every exit code of the client', () => {
-    expect(table('Exit codes of the client').map(row => row[0])).toEqual(
-      Object.values(EXIT_CODES).map(String)
-    );
+    expect(
+      firstTableBelow('Exit codes of the client').map(row => row[0])
+    ).toEqual(Object.values(EXIT_CODES).map(String));
   });
 
   it('should show a rule file that is accepted', () => {
-    const [, example = ''] = PAGE.split(/```text\n(?=revision)/);
+    const [, example = ''] = OPERATORS_PAGE.split(/```text\n(?=revision)/);
     expect(parseRules(example.split('```')[0] ?? '')).toMatchObject({ok: true});
   });
 });
--- a/tests/peerKeys.spec.ts
+++ b/tests/peerKeys.spec.ts
@@ -8,24 +8,24 @@
 afterEach(closeTargets);
 
 const HOST = '127.0.0.1';
-const OLD = 'the secret until now';
-const NEW = 'the secret from now on';
+const OLD_SECRET = 'the secret until now';
+const NEW_SECRET = 'the secret from now on';
 
-interface Keys {
+interface Secrets {
   readonly secret: string;
   readonly acceptSecret?: string;
 }
 
-/** Settings of one process in the rounds of the operators' page. */
-const ROUNDS: readonly Keys[] = [
-  {secret: OLD},
-  {secret: OLD, acceptSecret: NEW},
-  {secret: NEW, acceptSecret: OLD},
-  {secret: NEW},
+/** Secrets of a process in each round of a replacement by operators. */
+const ROUNDS: readonly Secrets[] = [
+  {secret: OLD_SECRET},
+  {secret: OLD_SECRET, acceptSecret: NEW_SECRET},
+  {secret: NEW_SECRET, acceptSecret: OLD_SECRET},
+  {secret: NEW_SECRET},
 ];
 
-/** What the server takes the client for, or `refused`. */
-async function call(server: Keys, client: Keys): Promise<string> {
+/** Returns the identity that the server sees for the client, or `refused`. */
+async function callAsEntry(server: Secrets, client: Secrets): Promise<string> {
   const metrics = new Metrics('server');
   const logger = createLogger('test', 'test', 'fatal');
   const peer = new PeerServer({
@@ -44,39 +44,39 @@
   const agent = createPeerAgent(client.secret, 'entry-0');
   later(() => agent.destroy());
   const address = {id: 'server', host: HOST, port};
-  const answer = new PeerClient(address, agent).call<{id: string}>(
+  const reply = new PeerClient(address, agent).call<{id: string}>(
     'who',
     {},
     2_000
   );
-  const seen = await answer.then(
+  const identity = await reply.then(
     ({id}) => id,
     () => 'refused'
   );
-  const refusals = metrics.snapshot()['peer.rejected{reason=handshake}'] ?? 0;
-  expect(refusals).toBe(seen === 'refused' ? 1 : 0);
-  return seen;
+  const rejections = metrics.snapshot()['peer.rejected{reason=handshake}'] ?? 0;
+  expect(rejections).toBe(identity === 'refused' ? 1 : 0);
+  return identity;
 }
 
 describe('replacing the shared secret', () => {
-  // Operators restart one process after the other with the settings of the
-  // next round. Meanwhile some are a round ahead; if one of them could not be
-  // reached, control would lose its quorum or a target its agent.
+  // Operators restart the processes one by one with the settings of the next
+  // round, so some are a round ahead of others. If these could not connect to
+  // each other, control would lose its quorum, or a target its agent.
   it.each([0, 1, 2])(
-    'should let processes of round %i and the next speak both ways',
+    'should let processes of round %i and the next call each other',
     async round => {
       const [behind, ahead] = [ROUNDS[round]!, ROUNDS[round + 1]!];
-      expect(await call(behind, ahead)).toBe('entry-0');
-      expect(await call(ahead, behind)).toBe('entry-0');
-      expect(await call(ahead, ahead)).toBe('entry-0');
+      expect(await callAsEntry(behind, ahead)).toBe('entry-0');
+      expect(await callAsEntry(ahead, behind)).toBe('entry-0');
+      expect(await callAsEntry(ahead, ahead)).toBe('entry-0');
     }
   );
 
-  // After the last round whoever still knows only the old secret is a stranger.
+  // After the last round, a process with only the old secret is not trusted.
   it('should refuse the old secret once it is replaced, and any other', async () => {
-    expect(await call(ROUNDS[3]!, ROUNDS[1]!)).toBe('refused');
-    expect(await call(ROUNDS[3]!, ROUNDS[0]!)).toBe('refused');
-    expect(await call(ROUNDS[2]!, {secret: 'some third secret'})).toBe(
+    expect(await callAsEntry(ROUNDS[3]!, ROUNDS[1]!)).toBe('refused');
+    expect(await callAsEntry(ROUNDS[3]!, ROUNDS[0]!)).toBe('refused');
+    expect(await callAsEntry(ROUNDS[2]!, {secret: 'some third secret'})).toBe(
       'refused'
     );
   });
--- a/tests/ruleDiff.spec.ts
+++ b/tests/ruleDiff.spec.ts
@@ -7,7 +7,7 @@
   .map(lines => lines.join('\n'));
 
 describe('difference of rule files', () => {
-  it('should lead from any text to any other', () => {
+  it('should turn any text into any other', () => {
     fc.assert(
       fc.property(text, text, (a, b) => {
         const from = {revision: 1, text: a};
@@ -29,19 +29,19 @@
     ]);
   });
 
-  // A process that holds revision 5 gets the way from 6 to 7 because messages
-  // overtook each other. Applied all the same it would put in force a file
-  // that nobody accepted, so it says that it needs the whole file.
-  it('should refuse a text that it was not made for', () => {
+  // Messages may overtake each other, so a process with revision 5 may receive
+  // the difference from 6 to 7. Applying it would activate a file that nobody
+  // accepted; the process has to request the whole file instead.
+  it('should reject a text that it was not made for', () => {
     const diff = diffRules({revision: 6, text: 'a'}, {revision: 7, text: 'b'});
     expect(applyDiff({revision: 5, text: 'a'}, diff)).toBeUndefined();
     expect(applyDiff({revision: 6, text: 'x'}, diff)).toBeUndefined();
   });
 
-  it('should refuse to end in another text than was accepted', () => {
+  it('should reject a result other than the accepted text', () => {
     const from = {revision: 6, text: 'a'};
     const diff = diffRules(from, {revision: 7, text: 'b'});
-    const damaged = {...diff, changes: [{at: 0, removed: 1, added: ['c']}]};
-    expect(applyDiff(from, damaged)).toBeUndefined();
+    const corrupted = {...diff, changes: [{at: 0, removed: 1, added: ['c']}]};
+    expect(applyDiff(from, corrupted)).toBeUndefined();
   });
 });
--- a/tests/ruleIndex.spec.ts
+++ b/tests/ruleIndex.spec.ts
@@ -22,13 +22,13 @@
 rebalance spare off # asked by Una
 `;
 
-function pools(index: RuleIndex, customer: string, path: string) {
+function weightedPools(index: RuleIndex, customer: string, path: string) {
   return index
     .routes(customer, path)
     .map(({pool, weight}) => `${pool}:${weight}`);
 }
 
-describe('rule look-ups', () => {
+describe('rule lookups', () => {
   const parsed = parseRules(TEXT);
   if (!parsed.ok) throw new Error(JSON.stringify(parsed.problems));
   const index = new RuleIndex(parsed.ruleSet);
@@ -40,16 +40,16 @@
     ['harbour', '/v1/xyz', ['ledger:100']],
     ['harbour', '/status', ['planner:100']],
   ])('should route %s %s to %j', (customer, path, expected) => {
-    expect(pools(index, customer, path)).toEqual(expected);
+    expect(weightedPools(index, customer, path)).toEqual(expected);
   });
 
-  it('should find the closest rule for calls that are not idempotent', () => {
+  it('should find the once rule with the longest matching prefix', () => {
     expect(index.onceRule('POST', '/assign/4')?.key).toBe('required');
     expect(index.onceRule('POST', '/other')?.key).toBe('optional');
     expect(index.onceRule('GET', '/assign/4')).toBeUndefined();
   });
 
-  it('should know customers, pools and zones by the file alone', () => {
+  it('should know only the customers, pools and zones of the file', () => {
     expect(index.isKnown('harbour')).toBe(true);
     expect(index.isKnown('constructor')).toBe(false);
     expect(index.share('harbour')).toBe(4);
@@ -66,7 +66,7 @@
     expect(index.rebalance('spare')).toBeUndefined();
   });
 
-  it('should fill in what the file leaves out', () => {
+  it('should fill in defaults for what the file leaves out', () => {
     const limit = {timeoutMs: 30_000, attempts: 3, retryBudgetPercent: 10};
     expect(index.limit('planner')).toEqual(limit);
     expect(index.limit('spare')).toMatchObject({...limit, attempts: 1});
--- a/tests/rules.spec.ts
+++ b/tests/rules.spec.ts
@@ -3,7 +3,7 @@
 import {printRules} from '../src/rules/printRules';
 import type {RuleSet} from '../src/rules/rule';
 
-const GOOD = `# Quay rules
+const VALID_FILE = `# Quay rules
 revision 13 # asked by Aoife Byrne
 pool planner engine # asked by Aoife Byrne, ticket 4
 pool allocation service # asked by Aoife Byrne
@@ -19,7 +19,7 @@
 serve planner llama version=v2 min=2 max=8 # asked by Niall
 `;
 
-function accepted(text: string): RuleSet {
+function parseValid(text: string): RuleSet {
   const result = parseRules(text);
   if (!result.ok) throw new Error(JSON.stringify(result.problems));
   return result.ruleSet;
@@ -30,14 +30,14 @@
   return result.ok ? [] : result.problems.map(p => formatProblem('f', p));
 }
 
-/** Faults of one line, put below a good file. */
-function faultOf(line: string): string {
-  return problems(`${GOOD}${line}`).join('\n').replaceAll('f:14:', '');
+/** Problems of a line that is appended to a valid file. */
+function problemsOfLine(line: string): string {
+  return problems(`${VALID_FILE}${line}`).join('\n').replaceAll('f:14:', '');
 }
 
 describe('rule file', () => {
   it('should read every kind of rule', () => {
-    const {revision, rules} = accepted(GOOD);
+    const {revision, rules} = parseValid(VALID_FILE);
     expect(revision).toBe(13);
     expect(rules.map(rule => rule.kind)).toHaveLength(13);
     expect(rules.map(rule => rule.askedBy).slice(0, 4)).toEqual([
@@ -54,9 +54,9 @@
     });
   });
 
-  it('should read its own printing as the same rules', () => {
-    const first = accepted(GOOD);
-    expect(accepted(printRules(first)).rules).toEqual(first.rules);
+  it('should parse printed rules to the same rules', () => {
+    const first = parseValid(VALID_FILE);
+    expect(parseValid(printRules(first)).rules).toEqual(first.rules);
   });
 
   it.each([
@@ -143,10 +143,10 @@
     ['zone a ${ # asked by A', '8: quotes, backslashes'],
     ['zone a out # asked by A\u0007', '24: control characters'],
   ])('should refuse %j and say why', (line, reason) => {
-    expect(faultOf(line)).toContain(reason);
+    expect(problemsOfLine(line)).toContain(reason);
   });
 
-  it('should report all faults at once, in order', () => {
+  it('should report all problems at once, in order', () => {
     const text = 'zone a off # asked by A\npool p engin # asked by B\n';
     expect(problems(text).map(p => p.split(': ')[0])).toEqual([
       'f:1:1',
--- a/tests/rulesProperties.spec.ts
+++ b/tests/rulesProperties.spec.ts
@@ -11,13 +11,17 @@
 
 const pool = fc.constantFrom(...POOLS);
 const customer = fc.constantFrom(...CUSTOMERS);
-const whole = (low: number, high: number) =>
+const integer = (low: number, high: number) =>
   fc.integer({min: low, max: high}).map(String);
-const time = fc
+const duration = fc
   .tuple(fc.integer({min: 1000, max: 59_000}), fc.constantFrom('ms'))
   .map(([n, unit]) => `${n}${unit}`);
 const path = fc.constantFrom('/', '/v1/', '/assign', '/a/b.c', '/x=1');
-const who = fc.constantFrom('Una', 'Aoife Byrne, ticket 4', 'Élodie (quay)');
+const requester = fc.constantFrom(
+  'Una',
+  'Aoife Byrne, ticket 4',
+  'Élodie (quay)'
+);
 
 function option(
   key: string,
@@ -26,20 +30,20 @@
   return fc.option(value, {nil: ''}).map(v => (v === '' ? '' : ` ${key}=${v}`));
 }
 
-/** Lines that are good by themselves, by what they may be only once for. */
+/** Lines that are valid by themselves, by kind of rule. */
 const limit = fc
   .tuple(
     pool,
-    option('timeout', time),
-    option('attempts', whole(1, 10)),
+    option('timeout', duration),
+    option('attempts', integer(1, 10)),
     option('retry-budget', fc.constantFrom('0%', '12.5%', '100%'))
   )
   .map(parts => ['limit ', ...parts].join(''));
 const warmup = fc
-  .tuple(pool, whole(1, 5), whole(5, 99), time)
+  .tuple(pool, integer(1, 5), integer(5, 99), duration)
   .map(([p, a, b, t]) => `warmup ${p} start=${a} full=${b} over=${t}`);
 const route = fc
-  .tuple(customer, path, pool, option('weight', whole(1, 1000)))
+  .tuple(customer, path, pool, option('weight', integer(1, 1000)))
   .map(([c, at, p, w]) => `route customer=${c} path=${at} pool=${p}${w}`);
 const zone = fc
   .tuple(fc.constantFrom('zone-a', 'zone-b'), fc.constantFrom('in', 'out'))
@@ -48,21 +52,21 @@
   .tuple(path, fc.constantFrom('required', 'optional'))
   .map(([at, key]) => `once POST ${at} key=${key}`);
 
-/** What may stand once in a file, without the values that differ. */
-function identity(line: string): string {
+/** The part of a line that may occur only once in a file. */
+function uniqueKey(line: string): string {
   return line.replace(
     / (weight|key|in$|out$|start|timeout|attempts|retry).*/,
     ''
   );
 }
 
-const goodFile = fc
+const validFile = fc
   .tuple(
     fc.uniqueArray(fc.oneof(limit, warmup, route, zone, once), {
-      selector: identity,
+      selector: uniqueKey,
       maxLength: 25,
     }),
-    who,
+    requester,
     fc.constantFrom('', '\n', '# a remark\n\n')
   )
   .map(([lines, name, gap]) => {
@@ -75,7 +79,7 @@
     return all.map(line => `${line} # asked by ${name}\n`).join(gap);
   });
 
-/** Files damaged at one place, or of any text at all. */
+/** Any text, sequences of tokens, and valid files damaged at one position. */
 const anyFile = fc.oneof(
   fc.string({unit: 'binary', maxLength: 300}),
   fc
@@ -98,21 +102,21 @@
     )
     .map(parts => parts.join('')),
   fc
-    .tuple(goodFile, fc.nat(), fc.string({unit: 'binary', maxLength: 3}))
+    .tuple(validFile, fc.nat(), fc.string({unit: 'binary', maxLength: 3}))
     .map(([text, at, junk]) => {
-      const place = at % (text.length + 1);
-      return text.slice(0, place) + junk + text.slice(place + 1);
+      const position = at % (text.length + 1);
+      return text.slice(0, position) + junk + text.slice(position + 1);
     })
 );
 
-function accepted(text: string): RuleSet {
+function parseValid(text: string): RuleSet {
   const result = parseRules(text);
   if (!result.ok) throw new Error(JSON.stringify(result.problems));
   return result.ruleSet;
 }
 
 describe('any rule file', () => {
-  it('should be read or refused with places, and never throw', () => {
+  it('should be accepted, or rejected with positions, and never throw', () => {
     fc.assert(
       fc.property(anyFile, text => {
         const result = parseRules(text);
@@ -131,11 +135,11 @@
     );
   });
 
-  it('should read its printing as the same rules', () => {
+  it('should be parsed to the same rules after printing', () => {
     fc.assert(
-      fc.property(goodFile, text => {
-        const first = accepted(text);
-        const again = accepted(printRules(first));
+      fc.property(validFile, text => {
+        const first = parseValid(text);
+        const again = parseValid(printRules(first));
         expect(again.rules).toEqual(first.rules);
         expect(printRules(again)).toBe(printRules(first));
       }),
@@ -143,13 +147,13 @@
     );
   });
 
-  // An entry that reads only the changed lines would otherwise act by rules
-  // that other processes don't have: a line that is good by itself may clash
-  // with one taken over from the file before.
-  it('should come out the same with and without the file before', () => {
+  // With a previous file only changed lines are parsed. A line that is valid by
+  // itself may conflict with a reused one; if that were missed, an entry would
+  // apply rules that other processes don't have.
+  it('should be parsed to the same result with and without a previous file', () => {
     fc.assert(
-      fc.property(goodFile, anyFile, goodFile, (before, any, good) => {
-        const previous = accepted(before);
+      fc.property(validFile, anyFile, validFile, (before, any, good) => {
+        const previous = parseValid(before);
         const mixed = before.replace('revision 3', 'revision 4') + any;
         for (const text of [any, good, mixed])
           expect(parseRules(text, previous)).toEqual(parseRules(text));
@@ -161,11 +165,11 @@
 
 describe('a path in any spelling', () => {
   const segment = fc.constantFrom('assign', 'a', 'b.c', '~x');
-  const plain = fc
+  const canonical = fc
     .array(segment, {minLength: 1, maxLength: 4})
     .map(parts => `/${parts.join('/')}`);
 
-  /** The same path written otherwise; a target reads it as before. */
+  /** Returns another spelling of a path; targets treat both alike. */
   function respell(text: string, choices: readonly number[]): string {
     const parts = text.slice(1).split('/');
     return parts
@@ -173,19 +177,26 @@
         const escaped = [...part]
           .map(c => `%${c.charCodeAt(0).toString(16)}`)
           .join('');
-        const ways = [part, escaped, `./${part}`, `/${part}`, `q/../${part}`];
-        return `/${ways[(choices[index] ?? 0) % ways.length] ?? part}`;
+        const spellings = [
+          part,
+          escaped,
+          `./${part}`,
+          `/${part}`,
+          `q/../${part}`,
+        ];
+        return `/${spellings[(choices[index] ?? 0) % spellings.length] ?? part}`;
       })
       .join('')
       .concat((choices[0] ?? 0) % 2 === 0 ? '' : '?box=1/../x');
   }
 
-  // One box is assigned to a plug twice: a caller spells the path with an
-  // escape, the entry finds no rule for it, takes the call for idempotent and
-  // sends it again after a lost answer. The target reads both alike.
-  it('should meet the rule that its plain spelling meets', () => {
+  // Guards against assigning one box to a plug twice: a caller spells the path
+  // with an escape, the entry finds no `once` rule for it, treats the call as
+  // idempotent and retries it after a lost response. The target treats both
+  // spellings alike.
+  it('should match the same rule as its canonical spelling', () => {
     const index = new RuleIndex(
-      accepted(`revision 1 # asked by Una
+      parseValid(`revision 1 # asked by Una
 pool ledger service # asked by Una
 customer harbour share=1 # asked by Una
 route customer=any path=/ pool=ledger # asked by Una
@@ -193,7 +204,7 @@
 `)
     );
     fc.assert(
-      fc.property(plain, fc.array(fc.nat(9)), (text, choices) => {
+      fc.property(canonical, fc.array(fc.nat(9)), (text, choices) => {
         const spelled = respell(text, choices);
         expect(canonicalPath(spelled)).toBe(text);
         expect(index.onceRule('POST', spelled)).toBe(
--- a/tests/settings.spec.ts
+++ b/tests/settings.spec.ts
@@ -15,12 +15,12 @@
 availability-zone = zone-a
 host = 127.0.0.1
 `;
-const SHARED = `[internal]
+const INTERNAL_AND_CONTROL = `[internal]
 key = 0123456789abcdef
 [control]
 instances = c1@127.0.0.1:7101, c2@127.0.0.1:7102, c3@[::1]:7103
 `;
-const ENTRY = `${PROCESS}${SHARED}[callers]
+const ENTRY_FILE = `${PROCESS}${INTERNAL_AND_CONTROL}[callers]
 port = 8080
 [customer-keys]
 s3cret-of-harbour = harbour
@@ -33,15 +33,18 @@
   });
   afterEach(() => rmSync(folder, {recursive: true}));
 
-  function file(text: string): string {
-    const place = path.join(folder, 'x.ini');
-    writeFileSync(place, text);
-    return place;
+  function writeSettings(text: string): string {
+    const settingsFile = path.join(folder, 'x.ini');
+    writeFileSync(settingsFile, text);
+    return settingsFile;
   }
 
-  function problemsOf(load: (place: string) => unknown, text: string): string {
+  function problemsOf(
+    load: (settingsFile: string) => unknown,
+    text: string
+  ): string {
     try {
-      load(file(text));
+      load(writeSettings(text));
     } catch (err) {
       if (err instanceof ConfigError)
         return err.message.replaceAll(`${folder}/`, '');
@@ -51,7 +54,7 @@
   }
 
   it('should load an entry with defaults filled in', () => {
-    const cfg = loadEntrySettings(file(ENTRY));
+    const cfg = loadEntrySettings(writeSettings(ENTRY_FILE));
     expect(cfg.process).toMatchObject({id: 'entry-1', logLevel: 'info'});
     expect(cfg.internal).toEqual({port: 0, key: '0123456789abcdef'});
     expect(cfg.control.proofMs).toBe(2500);
@@ -64,10 +67,10 @@
     expect(cfg.customerKeys.get('s3cret-of-harbour')).toBe('harbour');
   });
 
-  it('should read the secret and the data folder beside the file', () => {
+  it('should resolve the secret and the data folder relative to the file', () => {
     writeFileSync(path.join(folder, 'secret'), 'fedcba9876543210\n');
     const cfg = loadControlSettings(
-      file(`[process]\nid = c1\navailability-zone = a\nhost = 127.0.0.1
+      writeSettings(`[process]\nid = c1\navailability-zone = a\nhost = 127.0.0.1
 [internal]\nport = 7101\nkey-file = secret\n[control]
 instances = c1@127.0.0.1:7101\n[data]\nfolder = data\n`)
     );
@@ -76,7 +79,7 @@
   });
 
   it('should report all problems at once, with file, section and range', () => {
-    const text = `${PROCESS}${SHARED}[target]
+    const text = `${PROCESS}${INTERNAL_AND_CONTROL}[target]
 id = t1
 pool = planner
 kind = engin
@@ -113,13 +116,13 @@
     ['id = entry-1', 'id = entry-1\nmetrics-port = 8125', 'go together'],
     ['[process]', 'id = x\n[process]', '"id" stands before any [section]'],
   ])('should refuse a file with %j as %j', (from, to, reason) => {
-    expect(problemsOf(loadEntrySettings, ENTRY.replace(from, to))).toContain(
-      reason
-    );
+    expect(
+      problemsOf(loadEntrySettings, ENTRY_FILE.replace(from, to))
+    ).toContain(reason);
   });
 
   it('should refuse a control instance at another address than listed', () => {
-    const text = `${PROCESS.replace('entry-1', 'c1')}${SHARED.replace('key', 'port = 7109\nkey')}[data]\nfolder = d\n`;
+    const text = `${PROCESS.replace('entry-1', 'c1')}${INTERNAL_AND_CONTROL.replace('key', 'port = 7109\nkey')}[data]\nfolder = d\n`;
     expect(problemsOf(loadControlSettings, text)).toContain(
       '[control] instances give "c1" as 127.0.0.1:7101'
     );
@@ -128,9 +131,12 @@
   it('should check a file without starting anything', () => {
     const lines: string[] = [];
     const print = (line: string) => lines.push(line);
-    expect(checkSettings('entry', file(ENTRY), print)).toBe(0);
-    const bad = ENTRY.replace('8080', 'x').replace('[callers]', '[caller]');
-    expect(checkSettings('entry', file(bad), print)).toBe(2);
+    expect(checkSettings('entry', writeSettings(ENTRY_FILE), print)).toBe(0);
+    const bad = ENTRY_FILE.replace('8080', 'x').replace(
+      '[callers]',
+      '[caller]'
+    );
+    expect(checkSettings('entry', writeSettings(bad), print)).toBe(2);
     expect(lines).toHaveLength(3);
     expect(lines[1]).toContain('unknown section [caller]');
   });
