--- a/fakes/engine.ts
+++ b/fakes/engine.ts
@@ -1,4 +1,4 @@
-/** A small fake model engine over plain http, for tests and the quick start. */
+/** A fake model engine over plain HTTP, for tests and the quick start. */
 
 import type http from 'node:http';
 import * as z from 'zod';
@@ -6,9 +6,9 @@
 import {ChatCall, ChatWriter, parseChat, prefillTokens} from './engine/chat';
 import {ENGINE_DEFAULTS, EngineConfig} from './engine/engineConfig';
 import {EngineCounters, EngineState, StreamFault} from './engine/engineState';
-import {obey} from './engine/orders';
+import {executeOrder} from './engine/orders';
 import {StepClock, Stepper} from './engine/stepClock';
-import {recordFall, recordRun} from './runRecord';
+import {recordOverload, recordRun} from './runRecord';
 import {
   FakeServer,
   Handler,
@@ -19,13 +19,13 @@
   sendJson,
 } from './http';
 
-const MS = z.number().nonnegative();
+const DURATION_MS = z.number().nonnegative();
 const CONTROL = z.discriminatedUnion('kind', [
-  /** Turns cold with no restart; the report claims warm for `claimLagMs`. */
-  z.object({kind: z.literal('turnCold'), claimLagMs: MS.default(0)}),
-  /** No step runs for a while. */
-  z.object({kind: z.literal('stall'), ms: MS}),
-  /** Loses all connections and work, and starts again. */
+  /** Turns cold without a restart; the status still says warm for `claimLagMs`. */
+  z.object({kind: z.literal('turnCold'), claimLagMs: DURATION_MS.default(0)}),
+  /** Runs no step for `ms`. */
+  z.object({kind: z.literal('stall'), ms: DURATION_MS}),
+  /** Drops all connections and requests, then restarts. */
   z.object({kind: z.literal('crash')}),
   z.object({
     kind: z.enum(['cutAtToken', 'endAtToken', 'repeatToken', 'stallAtToken']),
@@ -35,7 +35,7 @@
 ]);
 type Control = z.infer<typeof CONTROL>;
 
-/** An engine that runs until closed. */
+/** The HTTP server of the fake engine and its current boot. */
 export class FakeEngine implements Stepper {
   port = 0;
   readonly counters = new EngineCounters();
@@ -46,7 +46,7 @@
   private faults: StreamFault[] = [];
   private restart: NodeJS.Timeout | undefined;
 
-  /** Ranks of one group share a clock, which keeps them in lock-step. */
+  /** Ranks of one group share `clock`, which keeps them in lock-step. */
   constructor(cfg: Partial<EngineConfig> = {}, clock?: StepClock) {
     this.cfg = {...ENGINE_DEFAULTS, ...cfg};
     this.clock = clock ?? new StepClock(this.cfg.stepMs);
@@ -73,7 +73,7 @@
     await this.server.close();
   }
 
-  /** The current boot, for assertions of tests in the same process. */
+  /** State of the current boot, for tests in the same process. */
   get current(): EngineState {
     return this.state;
   }
@@ -94,7 +94,7 @@
     this.state.batch.step();
   }
 
-  /** Does what a test asks at `/fake/control`. */
+  /** Injects a fault, as requested by `POST /fake/control`. */
   control(control: Control): void {
     switch (control.kind) {
       case 'turnCold':
@@ -116,7 +116,7 @@
     return new EngineState(this.cfg, startCold, Date.now());
   }
 
-  /** Loses everything; comes back cold, as a new boot, on the same port. */
+  /** Drops everything, then restarts cold as a new boot on the same port. */
   private crash(): void {
     this.server.down = true;
     this.state.batch.clear();
@@ -162,7 +162,7 @@
 
   private readonly order: Handler = async (_req, res, body) => {
     const order = parseJson(body);
-    const answer = await obey(this.state, this.cfg, order, Date.now());
+    const answer = await executeOrder(this.state, this.cfg, order, Date.now());
     this.counters.orders.push({order, answer: answer.kind});
     sendJson(res, 200, answer);
   };
@@ -173,7 +173,7 @@
       worstColdRatio: this.counters.worstColdRatio,
       bootId: this.state.bootId,
       cold: this.state.cold.cold(),
-      bearable: this.state.cold.bearable(),
+      bearable: this.state.cold.capacity(),
       concurrent: this.state.batch.size,
       step: this.state.rank.step,
       mapVersion: this.state.rank.mapVersion,
@@ -207,7 +207,7 @@
     recordRun(this.cfg.record, req);
     const {batch, cold} = this.state;
     cold.advance(Date.now(), batch.size);
-    if (this.fallsOver(batch.size + 1)) return;
+    if (this.crashIfOverloaded(batch.size + 1)) return;
     this.admit(call, res);
   }
 
@@ -217,7 +217,7 @@
     if (call.from > 0) (resumedFrom[call.requestId] ??= []).push(call.from);
   }
 
-  private fallsOver(concurrent: number): boolean {
+  private crashIfOverloaded(concurrent: number): boolean {
     const {cold} = this.state;
     const counters = this.counters;
     const over = cold.overloaded(concurrent);
@@ -228,7 +228,7 @@
     );
     if (!over) return false;
     counters.overloads++;
-    recordFall(this.cfg.record);
+    recordOverload(this.cfg.record);
     this.crash();
     return true;
   }
@@ -241,13 +241,13 @@
     const work: Work = {
       requestId: call.requestId,
       priority: call.priority,
-      prefillLeft: prefillTokens(call, cached),
-      next: call.stream ? call.from : 0,
+      prefillTokensLeft: prefillTokens(call, cached),
+      nextToken: call.stream ? call.from : 0,
       end: call.end,
       onToken: index => {
         this.counters.tokens++;
         experts.route(writer.text(index));
-        if (this.breakAt(index, writer, work, res)) return;
+        if (this.applyStreamFault(index, writer, work, res)) return;
         writer.token(index);
       },
       onEnd: () => {
@@ -261,8 +261,8 @@
     res.on('close', () => this.disconnected(work, batch, res));
   }
 
-  /** Applies a fault to this token; true when the token is not to be sent. */
-  private breakAt(
+  /** Applies a pending stream fault at this token; true if the token must not be sent. */
+  private applyStreamFault(
     index: number,
     writer: ChatWriter,
     work: Work,
--- a/fakes/engine/batch.ts
+++ b/fakes/engine/batch.ts
@@ -1,4 +1,4 @@
-/** Continuous batching: prefill first, then one token a step. */
+/** Continuous batching: a request is prefilled first, then gains one token per step. */
 
 import type {EngineConfig} from './engineConfig';
 
@@ -7,10 +7,10 @@
   readonly requestId: string;
   /** Higher goes first. */
   readonly priority: number;
-  /** Prompt tokens still to prefill. */
-  prefillLeft: number;
-  /** Index of the token to make next. */
-  next: number;
+  /** Tokens that are not prefilled yet. */
+  prefillTokensLeft: number;
+  /** Index of the next token to generate. */
+  nextToken: number;
   /** Index after the last token. */
   readonly end: number;
   onToken(index: number): void;
@@ -18,7 +18,7 @@
   onCancel(): void;
 }
 
-/** Requests in work and waiting. */
+/** The running and the waiting requests of an engine. */
 export class Batch {
   private running: Work[] = [];
   private waiting: Work[] = [];
@@ -39,25 +39,25 @@
     return this.running.length + this.waiting.length;
   }
 
-  /** Prompt and output tokens that are still to be worked through. */
+  /** Prompt tokens to prefill and output tokens to generate, over all requests. */
   tokensInWork(): number {
     return [...this.running, ...this.waiting].reduce(
-      (sum, work) => sum + work.prefillLeft + work.end - work.next,
+      (sum, work) => sum + work.prefillTokensLeft + work.end - work.nextToken,
       0
     );
   }
 
   add(work: Work): void {
-    const behind = this.waiting.findIndex(w => w.priority < work.priority);
-    if (behind < 0) this.waiting.push(work);
-    else this.waiting.splice(behind, 0, work);
+    const insertAt = this.waiting.findIndex(w => w.priority < work.priority);
+    if (insertAt < 0) this.waiting.push(work);
+    else this.waiting.splice(insertAt, 0, work);
   }
 
   has(work: Work): boolean {
     return this.running.includes(work) || this.waiting.includes(work);
   }
 
-  /** Takes out one piece of work; false when it has ended. */
+  /** Removes a request; false if it has already ended. */
   remove(work: Work): boolean {
     if (!this.has(work)) return false;
     this.running = this.running.filter(w => w !== work);
@@ -81,17 +81,17 @@
     this.running.push(...this.waiting.splice(0, Math.max(0, free)));
     let budget = this.cfg.prefillPerStep;
     for (const work of [...this.running]) {
-      const prefill = Math.min(budget, work.prefillLeft);
+      const prefill = Math.min(budget, work.prefillTokensLeft);
       budget -= prefill;
-      work.prefillLeft -= prefill;
-      if (prefill > 0 || work.prefillLeft > 0) continue;
+      work.prefillTokensLeft -= prefill;
+      if (prefill > 0 || work.prefillTokensLeft > 0) continue;
       this.decode(work);
     }
   }
 
   private decode(work: Work): void {
-    if (work.next < work.end) work.onToken(work.next++);
-    if (work.next < work.end || !this.remove(work)) return;
+    if (work.nextToken < work.end) work.onToken(work.nextToken++);
+    if (work.nextToken < work.end || !this.remove(work)) return;
     work.onEnd();
   }
 }
--- a/fakes/engine/chat.ts
+++ b/fakes/engine/chat.ts
@@ -1,4 +1,4 @@
-/** Chat completions of a fake engine, streamed and whole. */
+/** Chat completions of a fake engine, streamed or as one response. */
 
 import {createHash} from 'node:crypto';
 import type http from 'node:http';
@@ -31,7 +31,7 @@
   readonly promptDigest: string;
 }
 
-/** Parses a request; undefined when it is no chat request. */
+/** Parses a request; undefined if the body is not a chat request. */
 export function parseChat(
   req: http.IncomingMessage,
   body: unknown,
@@ -44,12 +44,12 @@
     text: m.content,
   }));
   const text = messages.map(m => `${m.role}\n${m.text}`).join('\n');
-  const last = headerOf(req, 'last-event-id');
+  const lastEventId = headerOf(req, 'last-event-id');
   return {
     requestId: headerOf(req, 'x-request-id') ?? 'anonymous',
     priority: Number(headerOf(req, 'x-priority') ?? 0),
     stream: parsed.data.stream,
-    from: last === undefined ? 0 : Number(last) + 1,
+    from: lastEventId === undefined ? 0 : Number(lastEventId) + 1,
     end: parsed.data.max_tokens ?? defaultTokens,
     promptTokens: estimateTokens(text),
     prefixes: prefixDigests(messages),
@@ -57,16 +57,19 @@
   };
 }
 
-/** Prompt tokens left to prefill, with this many leading blocks cached. */
+/**
+ * Tokens to prefill: the prompt without its cached leading blocks, plus the
+ * output tokens that precede a resumed stream.
+ */
 export function prefillTokens(call: ChatCall, cachedBlocks: number): number {
   const left = call.promptTokens - cachedBlocks * BLOCK_TOKENS;
   return Math.max(0, left) + call.from;
 }
 
-/** Writes the answer to one call as its tokens come. */
+/** Writes the response to one call as its tokens are generated. */
 export class ChatWriter {
   private readonly id: string;
-  private readonly head: string;
+  private readonly chunkPrefix: string;
   readonly parts: string[] = [];
 
   constructor(
@@ -76,7 +79,7 @@
     private readonly modelVersion: string
   ) {
     this.id = `chatcmpl-${call.requestId}`;
-    this.head = JSON.stringify({
+    this.chunkPrefix = JSON.stringify({
       id: this.id,
       object: 'chat.completion.chunk',
       model,
@@ -90,7 +93,7 @@
     res.flushHeaders();
   }
 
-  /** Text of a token, whether sent or not. */
+  /** Text of the token at an index, whether or not it was sent. */
   text(index: number): string {
     return tokenAt(this.call.promptDigest, this.modelVersion, index);
   }
@@ -99,11 +102,11 @@
     const text = this.text(index);
     this.parts.push(text);
     if (!this.call.stream) return;
-    const last = index + 1 === this.call.end;
-    const finish = last ? '"stop"' : 'null';
+    const isLast = index + 1 === this.call.end;
+    const finishReason = isLast ? '"stop"' : 'null';
     const delta = JSON.stringify({content: text});
     this.res.write(
-      `id: ${index}\ndata: ${this.head},"choices":[{"index":0,"delta":${delta},"finish_reason":${finish}}]}\n\n`
+      `id: ${index}\ndata: ${this.chunkPrefix},"choices":[{"index":0,"delta":${delta},"finish_reason":${finishReason}}]}\n\n`
     );
   }
 
--- a/fakes/engine/coldStart.ts
+++ b/fakes/engine/coldStart.ts
@@ -1,13 +1,13 @@
-/** What a cold engine bears, and what it claims. */
+/** Capacity of an engine while it warms up, and the temperature that it reports. */
 
 import type {EngineConfig} from './engineConfig';
 
-/** Grows from cold to warm with time under load. */
+/** Warms up only while requests run; capacity grows linearly over `warmupMs`. */
 export class ColdStart {
-  private loadedMs: number;
-  private lastMs: number;
+  private timeUnderLoadMs: number;
+  private lastAdvanceMs: number;
   private claimsWarmUntilMs = 0;
-  /** Most requests at once over what could be borne; above 1 it fell over. */
+  /** Highest ratio of concurrent requests to capacity; above 1 the engine crashed. */
   worstRatio = 0;
 
   constructor(
@@ -17,39 +17,40 @@
     >,
     nowMs: number
   ) {
-    this.loadedMs = cfg.startCold ? 0 : cfg.warmupMs;
-    this.lastMs = nowMs;
+    this.timeUnderLoadMs = cfg.startCold ? 0 : cfg.warmupMs;
+    this.lastAdvanceMs = nowMs;
   }
 
-  /** Turns cold; the report goes on claiming to be warm for a while. */
+  /** Turns cold; the status still says warm for `claimLagMs`. */
   turnCold(nowMs: number, claimLagMs: number): void {
-    this.loadedMs = 0;
-    this.lastMs = nowMs;
+    this.timeUnderLoadMs = 0;
+    this.lastAdvanceMs = nowMs;
     this.claimsWarmUntilMs = nowMs + claimLagMs;
   }
 
-  /** Accounts for the time since the last call. */
+  /** Adds the time since the last call to the time under load. */
   advance(nowMs: number, concurrent: number): void {
-    if (concurrent > 0) this.loadedMs += nowMs - this.lastMs;
-    this.lastMs = nowMs;
+    if (concurrent > 0) this.timeUnderLoadMs += nowMs - this.lastAdvanceMs;
+    this.lastAdvanceMs = nowMs;
   }
 
-  /** Requests at once that can be borne now. */
-  bearable(): number {
+  /** Concurrent requests that the engine can take now. */
+  capacity(): number {
     const {coldCapacity, warmCapacity, warmupMs} = this.cfg;
-    const share = warmupMs === 0 ? 1 : Math.min(1, this.loadedMs / warmupMs);
+    const share =
+      warmupMs === 0 ? 1 : Math.min(1, this.timeUnderLoadMs / warmupMs);
     return Math.floor(coldCapacity + share * (warmCapacity - coldCapacity));
   }
 
-  /** Whether this many requests at once make it fall over. */
+  /** Whether this many concurrent requests crash the engine; only a cold one crashes. */
   overloaded(concurrent: number): boolean {
     if (!this.cold()) return false;
-    this.worstRatio = Math.max(this.worstRatio, concurrent / this.bearable());
-    return concurrent > this.bearable();
+    this.worstRatio = Math.max(this.worstRatio, concurrent / this.capacity());
+    return concurrent > this.capacity();
   }
 
   cold(): boolean {
-    return this.loadedMs < this.cfg.warmupMs;
+    return this.timeUnderLoadMs < this.cfg.warmupMs;
   }
 
   claimsCold(nowMs: number): boolean {
--- a/fakes/engine/engineConfig.ts
+++ b/fakes/engine/engineConfig.ts
@@ -6,31 +6,31 @@
   readonly model: string;
   readonly modelVersion: string;
   readonly role: 'mixed' | 'prefill' | 'decode';
-  /** Time of one decoding step; each running request gains a token. */
+  /** Duration of one step, in which each prefilled request gains a token. */
   readonly stepMs: number;
-  /** Requests in the batch at once; more wait inside. */
+  /** Maximum number of running requests; more wait inside the engine. */
   readonly batchSize: number;
-  /** Prompt tokens that a step can prefill, over all requests. */
+  /** Prompt tokens that one step can prefill, over all requests. */
   readonly prefillPerStep: number;
-  /** Output tokens when the request names no maximum. */
+  /** Output tokens of a request without `max_tokens`. */
   readonly defaultTokens: number;
-  /** Prefix blocks that fit the cache. */
+  /** Capacity of the prefix cache in blocks. */
   readonly cacheBlocks: number;
   readonly cacheEventLagMs: number;
   /** Every n-th cache event is lost; 0 loses none. */
   readonly loseEveryNthCacheEvent: number;
-  /** Load is measured this seldom. */
+  /** Minimum interval between two measurements of the reported load. */
   readonly reportLagMs: number;
   readonly startCold: boolean;
-  /** Requests at once that a cold engine bears. */
+  /** Concurrent requests that a cold engine can take. */
   readonly coldCapacity: number;
-  /** Requests at once that a warm engine takes, in work and waiting. */
+  /** Concurrent requests that a warm engine can take, running and waiting. */
   readonly warmCapacity: number;
-  /** Time under load from cold to warm. */
+  /** Time under load until a cold engine is warm. */
   readonly warmupMs: number;
-  /** Time from falling over to the next start. */
+  /** Time from a crash to the next boot. */
   readonly restartMs: number;
-  /** Time to load a model, adapter or version. */
+  /** Time to load a model or a model version. */
   readonly loadMs: number;
   readonly cancelOnDisconnect: boolean;
   readonly refuseOldFences: boolean;
@@ -38,19 +38,19 @@
   readonly experts: number;
   readonly group?: string;
   readonly rank: number;
-  /** Ranks of the group. */
+  /** Number of ranks in the group. */
   readonly ranks: number;
-  /** Slots beyond one an expert, over the group. */
+  /** Expert slots of the group beyond one per expert. */
   readonly spareSlots: number;
-  /** A rank that starts runs no step before it was given a map. */
+  /** A rank that starts runs no step until an expert map is committed. */
   readonly needsMap: boolean;
-  /** `http://host:port` of the weight store; loads need none when absent. */
+  /** `http://host:port` of the weight store; if absent, loads fetch nothing. */
   readonly weightStore?: string;
-  /** File for a JSON line of each run and each fall; none when absent. */
+  /** File that gets a JSON line for each run and each overload crash; no file if absent. */
   readonly record?: string;
 }
 
-/** A warm, dense, fast engine. */
+/** A warm engine of a dense model with short steps. */
 export const ENGINE_DEFAULTS: EngineConfig = {
   port: 0,
   model: 'planner',
--- a/fakes/engine/engineState.ts
+++ b/fakes/engine/engineState.ts
@@ -1,4 +1,4 @@
-/** All that a fake engine holds between two restarts, and its counters. */
+/** The state of one boot of a fake engine, and the counters over all boots. */
 
 import {randomUUID} from 'node:crypto';
 import {Batch} from './batch';
@@ -8,7 +8,7 @@
 import {PrefixCache} from './prefixCache';
 import {RankState} from './rankState';
 
-/** A load report, as last measured. */
+/** The load as last measured. */
 interface MeasuredLoad {
   readonly running: number;
   readonly waiting: number;
@@ -16,15 +16,15 @@
   readonly reportedAtMs: number;
 }
 
-/** What a test may break at a token of the next streams. */
+/** A fault that tests inject at one token of the next streams. */
 export interface StreamFault {
   readonly kind: 'cutAtToken' | 'endAtToken' | 'repeatToken' | 'stallAtToken';
   readonly token: number;
-  /** Streams that still get it. */
+  /** Number of streams that the fault still applies to. */
   times: number;
 }
 
-/** Counters over all boots, for `/fake/state`. */
+/** Counters over all boots, reported by `/fake/state`. */
 export class EngineCounters {
   readonly runsByRequest: Record<string, number> = {};
   readonly resumedFrom: Record<string, number[]> = {};
@@ -34,7 +34,7 @@
   tokens = 0;
   boots = 0;
   overloads = 0;
-  /** Over all boots; above 1 the cold-start promise was broken. */
+  /** Above 1, a cold boot got more requests than it could take. */
   worstColdRatio = 0;
   maxConcurrent = 0;
   readonly orders: {readonly order: unknown; readonly answer: string}[] = [];
--- a/fakes/engine/expertRouter.ts
+++ b/fakes/engine/expertRouter.ts
@@ -1,10 +1,10 @@
-/** Which experts a token goes to: fixed by the token, some far more popular. */
+/** Deterministic routing of tokens to experts, with a skewed popularity. */
 
 import {createHash} from 'node:crypto';
 
 const POPULARITY_SKEW = 3;
 
-/** Counts of tokens by expert since the start. */
+/** Counts tokens by expert since boot. */
 export class ExpertRouter {
   readonly counts: number[];
 
@@ -21,7 +21,7 @@
   }
 }
 
-/** The token at an index: fixed by prompt digest and model version. */
+/** The token at an index, which depends only on prompt digest and model version. */
 export function tokenAt(
   promptDigest: string,
   modelVersion: string,
--- a/fakes/engine/orders.ts
+++ b/fakes/engine/orders.ts
@@ -1,11 +1,11 @@
-/** Orders to a fake engine. */
+/** Orders that a fake engine accepts, and their execution. */
 
 import * as z from 'zod';
 import {unreachable} from '../../src/core/errors';
 import type {EngineConfig} from './engineConfig';
 import type {EngineState} from './engineState';
 
-const VERSION = z.number().int();
+const INTEGER = z.number().int();
 const fence = z.number().int();
 
 const ORDER = z.discriminatedUnion('kind', [
@@ -25,14 +25,14 @@
   z.object({
     kind: z.literal('prepareMap'),
     fence,
-    version: VERSION,
-    switchStep: VERSION,
+    version: INTEGER,
+    switchStep: INTEGER,
     slots: z.array(z.array(z.number().int())),
   }),
   z.object({
     kind: z.literal('decideMap'),
     fence,
-    version: VERSION,
+    version: INTEGER,
     decision: z.enum(['commit', 'abort']),
   }),
   z.object({
@@ -44,7 +44,7 @@
 ]);
 type Order = z.infer<typeof ORDER>;
 
-/** As the engine answers. */
+/** Response body to an order. */
 export type Answer =
   | {readonly kind: 'done'}
   | {readonly kind: 'fenced'; readonly highestFence: number}
@@ -53,8 +53,8 @@
 
 const DONE: Answer = {kind: 'done'};
 
-/** Checks the fencing number if configured, then obeys. */
-export async function obey(
+/** Rejects an outdated fencing token if configured, then executes the order. */
+export async function executeOrder(
   state: EngineState,
   cfg: EngineConfig,
   body: unknown,
@@ -68,10 +68,10 @@
   state.highestFence = Math.max(state.highestFence, order.fence);
   const fault = await fetchWeights(order, cfg);
   if (fault !== undefined) return {kind: 'failed', detail: fault};
-  return execute(state, cfg, order, nowMs);
+  return applyOrder(state, cfg, order, nowMs);
 }
 
-function execute(
+function applyOrder(
   state: EngineState,
   cfg: EngineConfig,
   order: Order,
@@ -95,11 +95,11 @@
       state.role = order.role;
       return DONE;
     case 'prepareMap':
-      return answered(
+      return answerOf(
         state.rank.prepare(order.version, order.switchStep, order.slots)
       );
     case 'decideMap':
-      return answered(state.rank.decide(order.version, order.decision));
+      return answerOf(state.rank.decide(order.version, order.decision));
     case 'loadExpert':
       return DONE;
     default:
@@ -107,16 +107,16 @@
   }
 }
 
-function answered(fault: string | undefined): Answer {
+function answerOf(fault: string | undefined): Answer {
   return fault === undefined ? DONE : {kind: 'failed', detail: fault};
 }
 
-/** Why the weights could not be had, or undefined. */
+/** Fetches the weights that the order needs; returns why that failed, or undefined. */
 async function fetchWeights(
   order: Order,
   cfg: EngineConfig
 ): Promise<string | undefined> {
-  const name = weightsOf(order);
+  const name = weightsName(order);
   if (cfg.weightStore === undefined || name === undefined) return undefined;
   const res = await fetch(`${cfg.weightStore}/weights/${name}`).catch(
     () => undefined
@@ -126,7 +126,7 @@
   return res.ok ? undefined : `weight store: status ${res.status}`;
 }
 
-function weightsOf(order: Order): string | undefined {
+function weightsName(order: Order): string | undefined {
   switch (order.kind) {
     case 'loadModel':
     case 'setVersion':
--- a/fakes/engine/prefixCache.ts
+++ b/fakes/engine/prefixCache.ts
@@ -1,10 +1,10 @@
-/** A prefix cache in bounded memory, with events that are late and lossy. */
+/** A bounded prefix cache that publishes its events late and loses some. */
 
 import type {EngineConfig} from './engineConfig';
 
-const KEPT_EVENTS = 2000;
+const MAX_EVENTS = 2000;
 
-/** As published. */
+/** A cache event as it is published. */
 export interface PublishedEvent {
   readonly seq: number;
   readonly kind: 'stored' | 'removed';
@@ -15,9 +15,9 @@
   readonly visibleAtMs: number;
 }
 
-/** Least recently used blocks go first. */
+/** Evicts the least recently used blocks first. */
 export class PrefixCache {
-  /** In order of use, the least recent first. */
+  /** In order of use, the least recently used first. */
   private readonly blocks = new Set<string>();
   private events: PendingEvent[] = [];
   private seq = 0;
@@ -72,6 +72,6 @@
     if (nth > 0 && this.seq % nth === 0) return;
     const visibleAtMs = nowMs + this.cfg.cacheEventLagMs;
     this.events.push({seq: this.seq, kind, prefix, visibleAtMs});
-    this.events = this.events.slice(-KEPT_EVENTS);
+    this.events = this.events.slice(-MAX_EVENTS);
   }
 }
--- a/fakes/engine/rankState.ts
+++ b/fakes/engine/rankState.ts
@@ -1,8 +1,8 @@
-/** One rank's steps and expert map. */
+/** Step counter and expert map of one rank. */
 
 import {unreachable} from '../../src/core/errors';
 
-/** A prepared map and, once known, its decision. */
+/** A prepared map; `decision` is set once it is committed. */
 interface PreparedMap {
   readonly version: number;
   readonly switchStep: number;
@@ -10,23 +10,23 @@
   readonly decision?: 'commit';
 }
 
-/** From which step a map was in use. */
+/** The first step that used a map version. */
 export interface MapSpan {
   readonly fromStep: number;
   readonly mapVersion: number;
 }
 
-/** Why an order about maps could not be done, or undefined. */
+/** Why a map order failed, or undefined if it succeeded. */
 type Fault = string | undefined;
 
-/** Never starts the switch step without knowing the decision. */
+/** Holds before the switch step of a prepared map until the decision is known. */
 export class RankState {
   step = 0;
   mapVersion = 0;
   prepared: PreparedMap | undefined;
   slots: readonly (readonly number[])[] = [];
   readonly history: MapSpan[] = [{fromStep: 1, mapVersion: 0}];
-  /** After a restart it holds no map until one is committed again. */
+  /** After a restart the rank has no map, and runs no step until one is committed. */
   joining = false;
 
   /** Whether the next step may not start. */
@@ -40,11 +40,11 @@
     );
   }
 
-  /** Runs one step; the caller has checked that it does not hold. */
+  /** Runs one step. The caller must have checked `holding`. */
   advance(): void {
     const next = this.step + 1;
     if (this.prepared !== undefined && next >= this.prepared.switchStep)
-      this.settle(this.prepared, next);
+      this.activate(this.prepared, next);
     this.step = next;
   }
 
@@ -67,7 +67,7 @@
     if (this.prepared?.version === version) {
       if (this.prepared.decision === 'commit' && decision === 'abort')
         return `map ${version} was committed`;
-      this.take(this.prepared, decision);
+      this.applyDecision(this.prepared, decision);
       return undefined;
     }
     switch (decision) {
@@ -82,21 +82,24 @@
     }
   }
 
-  private take(prepared: PreparedMap, decision: 'commit' | 'abort'): void {
+  private applyDecision(
+    prepared: PreparedMap,
+    decision: 'commit' | 'abort'
+  ): void {
     if (decision === 'abort') {
       this.prepared = undefined;
       return;
     }
     this.prepared = {...prepared, decision};
     if (!this.joining) return;
-    // The others stand at the switch step; this rank joins them there.
+    // The other ranks hold before the switch step; this rank joins them there.
     this.joining = false;
     this.step = Math.max(this.step, prepared.switchStep - 1);
-    // In use from its next step on, so that a later one can be prepared.
-    this.settle(prepared, this.step + 1);
+    // Activate now rather than at the next step, so that a later map can be prepared.
+    this.activate(prepared, this.step + 1);
   }
 
-  private settle(prepared: PreparedMap, fromStep: number): void {
+  private activate(prepared: PreparedMap, fromStep: number): void {
     this.prepared = undefined;
     this.mapVersion = prepared.version;
     this.slots = prepared.slots;
--- a/fakes/engine/stepClock.ts
+++ b/fakes/engine/stepClock.ts
@@ -1,15 +1,15 @@
-/** Steps of an engine, or of all ranks of a group together. */
+/** Drives the steps of one engine, or of all ranks of a group together. */
 
-/** What the clock drives. */
+/** An engine that the clock drives. */
 export interface Stepper {
-  /** Whether there is any reason to step. */
+  /** Whether the engine has work; a rank of a group always has. */
   busy(): boolean;
   /** Whether the next step may start now. */
   ready(): boolean;
   step(): void;
 }
 
-/** Ranks advance in lock-step: one that is not ready holds back all. */
+/** Steps all members in lock-step: no member steps unless all are ready. */
 export class StepClock {
   private readonly members: Stepper[] = [];
   private timer: NodeJS.Timeout | undefined;
@@ -21,7 +21,7 @@
     this.members.push(member);
   }
 
-  /** Starts stepping unless it already does. */
+  /** Starts the timer unless it already runs. */
   wake(): void {
     if (this.timer !== undefined || this.closed) return;
     this.timer = setTimeout(() => this.tick(), this.stepMs);
--- a/fakes/http.ts
+++ b/fakes/http.ts
@@ -1,9 +1,9 @@
-/** Small helpers over Node's http for the fakes. */
+/** Helpers over Node's `http` module, shared by the fakes. */
 
 import http from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 
-/** Answers one request; the body has been read. */
+/** Handles one request, whose body has already been read. */
 export type Handler = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
@@ -13,17 +13,17 @@
 /** Handlers by `METHOD /path`. */
 export type Routes = Readonly<Record<string, Handler>>;
 
-/** Path of a request without its query. */
+/** Path of a request without the query string. */
 export function pathOf(req: http.IncomingMessage): string {
   return (req.url ?? '/').split('?')[0] ?? '/';
 }
 
-/** Query of a request. */
+/** Query parameters of a request. */
 export function queryOf(req: http.IncomingMessage): URLSearchParams {
   return new URL(req.url ?? '/', 'http://fake').searchParams;
 }
 
-/** One header as a string, or undefined. */
+/** First value of a header, or undefined if it is absent. */
 export function headerOf(
   req: http.IncomingMessage,
   name: string
@@ -39,7 +39,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson(
   res: http.ServerResponse,
   status: number,
@@ -64,7 +64,7 @@
 
   constructor(handle: Handler) {
     this.server = http.createServer((req, res) => {
-      // The caller may go at any time; what is written then has no reader.
+      // The client may disconnect at any time; errors of later writes are ignored.
       res.on('error', () => undefined);
       readBody(req)
         .then(body => handle(req, res, body))
@@ -73,7 +73,7 @@
     this.server.on('connection', socket => this.track(socket));
   }
 
-  /** Resolves with the port; 0 lets the kernel choose. */
+  /** Resolves with the port; with port 0 the kernel chooses one. */
   listen(port = 0): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -103,7 +103,7 @@
   }
 }
 
-/** Parses JSON of a body; undefined when it is none. */
+/** Parses a body as JSON; undefined if it is not valid JSON. */
 export function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
--- a/fakes/ledger.ts
+++ b/fakes/ledger.ts
@@ -1,6 +1,6 @@
 /**
- * A fake plain service that records every run: plug assignments and badge
- * awards may run at most once, and this is where a test counts.
+ * A fake plain service that records every request it runs. Plug assignments
+ * and badge awards may run at most once; tests count their runs here.
  */
 
 import {createHash, randomUUID} from 'node:crypto';
@@ -25,21 +25,21 @@
     'truncate',
     'refuse',
   ]),
-  /** Requests that still get it. */
+  /** Number of requests that the fault still applies to. */
   times: z.number().int().positive().default(1),
-  /** For `answerLate`. */
+  /** Extra delay of `answerLate`. */
   ms: z.number().nonnegative().default(1000),
-  /** Only requests whose path starts so. */
+  /** Prefix of the paths that the fault applies to. */
   path: z.string().default('/'),
 });
 type Fault = z.infer<typeof FAULT>;
 
-/** Settings; times in milliseconds. */
+/** Settings of the service; times in milliseconds. */
 export interface LedgerConfig {
   readonly port: number;
-  /** Time that a run takes. */
+  /** Time to run one request. */
   readonly latencyMs: number;
-  /** File for a JSON line of each run; none when absent. */
+  /** File that gets a JSON line for each run; no file if absent. */
   readonly record?: string;
 }
 
@@ -52,7 +52,7 @@
   readonly digest: string;
 }
 
-/** A service that runs until closed. */
+/** The HTTP server of the fake service. */
 export class FakeLedger {
   port = 0;
   readonly runs: LedgerRun[] = [];
@@ -79,12 +79,12 @@
     return this.server.close();
   }
 
-  /** Breaks the next requests. */
+  /** Injects a fault into the next matching requests. */
   breakNext(fault: z.input<typeof FAULT>): void {
     this.faults.push(FAULT.parse(fault));
   }
 
-  /** Runs by idempotency key; those without one count under `none`. */
+  /** Number of runs by idempotency key; runs without a key count as `none`. */
   runsByKey(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const run of this.runs)
@@ -187,13 +187,16 @@
   return createHash('sha256').update(body).digest('hex');
 }
 
-/** Promises more than it sends, then closes. */
+/** Announces a longer body than it sends, then closes the connection. */
 function truncate(res: http.ServerResponse): void {
   res.writeHead(200, {'content-length': 100});
   res.write('{"cut":', () => res.destroy());
 }
 
-/** `?bytes=N` for a large answer, `?chunks=N` for a chunked one with a trailer. */
+/**
+ * Echoes the request; `?bytes=N` returns a body of that size instead, and
+ * `?chunks=N` a chunked body with a trailer.
+ */
 function echo(
   req: http.IncomingMessage,
   res: http.ServerResponse,
--- a/fakes/main.ts
+++ b/fakes/main.ts
@@ -1,4 +1,4 @@
-/** `node dist/fakes.cjs engine|ledger|weights`: one fake as a process. */
+/** `node dist/fakes.cjs engine|ledger|weights` runs one fake as a process. */
 
 import meow from 'meow';
 import {FakeEngine} from './engine';
@@ -22,7 +22,7 @@
   | {readonly type: 'number'}
   | {readonly type: 'boolean'; readonly default: boolean};
 
-/** One flag for each setting of an engine, of the type of its default. */
+/** CLI flags for all engine settings, typed after their default values. */
 function engineFlags(): Record<string, Flag> {
   const flags: Record<string, Flag> = {
     group: {type: 'string'},
--- a/fakes/runRecord.ts
+++ b/fakes/runRecord.ts
@@ -1,13 +1,13 @@
-/** What a fake ran, in a file that outlives the fake when it is killed. */
+/** Records what a fake ran in a file, which survives a kill of the fake. */
 
 import {appendFileSync, existsSync, readFileSync} from 'node:fs';
 import type http from 'node:http';
 import {headerOf} from './http';
 
-/** Header in which a caller names one sending; it passes to the target. */
+/** Header with the caller's id of one request; the balancer forwards it to the target. */
 export const CALL_ID_HEADER = 'x-call-id';
 
-/** One line of the file; times are those of the machine. */
+/** One line of the file; `atMs` is wall-clock time. */
 export type RecordLine =
   | {
       readonly kind: 'ran';
@@ -15,10 +15,10 @@
       readonly callId?: string;
       readonly key?: string;
     }
-  /** More than the fake could bear. */
+  /** The engine crashed because it was overloaded while cold. */
   | {readonly kind: 'fell over'; readonly atMs: number};
 
-/** Written before anything else happens, so a run is never left out. */
+/** Appends a run. Called before the request has any effect, so that no run is missed. */
 export function recordRun(
   file: string | undefined,
   req: http.IncomingMessage
@@ -31,12 +31,12 @@
   });
 }
 
-/** An engine fell over. */
-export function recordFall(file: string | undefined): void {
+/** Appends a crash caused by overload. */
+export function recordOverload(file: string | undefined): void {
   append(file, {kind: 'fell over', atMs: Date.now()});
 }
 
-/** Reads all lines; none when nothing ran. */
+/** Reads all lines; empty if the file does not exist because nothing ran. */
 export function readRecord(file: string): readonly RecordLine[] {
   if (!existsSync(file)) return [];
   return readFileSync(file, 'utf8')
--- a/fakes/weightStore.ts
+++ b/fakes/weightStore.ts
@@ -1,4 +1,4 @@
-/** A fake weight store behind a token bucket: 429 when it is empty. */
+/** A fake weight store with a token bucket; responds 429 when the bucket is empty. */
 
 import {FakeServer, pathOf, sendJson} from './http';
 
@@ -9,19 +9,19 @@
 export interface WeightStoreConfig {
   readonly port: number;
   readonly requestsPerSecond: number;
-  /** Requests that a full bucket allows at once. */
+  /** Capacity of the bucket: the number of requests allowed at once. */
   readonly burst: number;
-  /** Size of each answer. */
+  /** Size of each response body. */
   readonly bytes: number;
 }
 
-/** A store that runs until closed. */
+/** The HTTP server of the fake weight store. */
 export class FakeWeightStore {
   port = 0;
   served = 0;
   limited = 0;
   private tokens: number;
-  private filledAtMs = performance.now();
+  private refilledAtMs = performance.now();
   private readonly cfg: WeightStoreConfig;
   private readonly server: FakeServer;
 
@@ -34,7 +34,7 @@
         return sendJson(res, 200, {served: this.served, limited: this.limited});
       if (!path.startsWith(PATH_PREFIX))
         return sendJson(res, 404, {error: 'no path'});
-      if (!this.take()) {
+      if (!this.takeToken()) {
         this.limited++;
         const seconds = Math.ceil(1 / this.cfg.requestsPerSecond);
         return sendJson(
@@ -60,11 +60,11 @@
     return this.server.close();
   }
 
-  private take(): boolean {
+  private takeToken(): boolean {
     const now = performance.now();
     const gained =
-      ((now - this.filledAtMs) / MS_PER_SECOND) * this.cfg.requestsPerSecond;
-    this.filledAtMs = now;
+      ((now - this.refilledAtMs) / MS_PER_SECOND) * this.cfg.requestsPerSecond;
+    this.refilledAtMs = now;
     this.tokens = Math.min(this.cfg.burst, this.tokens + gained);
     if (this.tokens < 1) return false;
     this.tokens--;
