--- a/bench/ablate.ts
+++ b/bench/ablate.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run ablate -- NAME DIR`: takes one mechanism out of a checkout, so that
- * days can be played with it and without it. Without arguments it lists them.
- * The list stands in bench/ablations.json.
+ * `npm run ablate -- NAME DIR` removes one mechanism from the checkout DIR, to
+ * compare simulated days with and without it. Without arguments it lists the
+ * mechanisms, which are defined in bench/ablations.json.
  */
 
 import {readFileSync} from 'node:fs';
@@ -10,7 +10,7 @@
 
 const ABLATION = z.strictObject({
   name: z.string(),
-  /** What the nodes do without it. */
+  /** Behavior of the nodes without the mechanism. */
   without: z.string(),
   changes: z.array(TEXT_CHANGE).nonempty(),
 });
@@ -25,7 +25,7 @@
       process.stdout.write(`${name.padEnd(20)}  ${without}\n`);
     return 0;
   }
-  const ablation = ABLATIONS.find(one => one.name === name);
+  const ablation = ABLATIONS.find(ablation => ablation.name === name);
   if (ablation === undefined || dir === undefined) {
     process.stderr.write('NAME of the list and DIR are needed\n');
     return 2;
--- a/bench/deployment/callers.ts
+++ b/bench/deployment/callers.ts
@@ -1,8 +1,8 @@
-/** Calls as the two users' callers make them. */
+/** HTTP calls to an entry, as real callers make them. */
 
 import {randomUUID} from 'node:crypto';
 
-/** One answer, read to its end. */
+/** A complete HTTP response. */
 export interface CallerAnswer {
   readonly status: number;
   readonly target: string;
@@ -17,7 +17,7 @@
   'x-customer': 'harbour',
 } as const;
 
-/** Reads the whole answer; rejects when it is cut off. */
+/** Sends a request and reads the whole response; rejects if the response is cut off. */
 export async function call(
   port: number,
   path: string,
@@ -41,7 +41,7 @@
   };
 }
 
-/** A chat completion; `tokens` is the length of the answer. */
+/** Sends a chat completion request that asks for `tokens` output tokens. */
 export function chat(
   port: number,
   prompt: string,
@@ -60,7 +60,7 @@
   });
 }
 
-/** A plug assignment, which may run at most once. */
+/** Sends a plug assignment, which may run at most once per key. */
 export function assign(
   port: number,
   key: string,
@@ -74,12 +74,12 @@
   });
 }
 
-/** A key that no other call has. */
+/** A new unique idempotency key. */
 export function newKey(): string {
   return randomUUID();
 }
 
-/** Token ids of a server-sent event stream, and whether it ended whole. */
+/** Token ids of a server-sent event stream, and whether the stream is complete. */
 export function readStream(body: string): {
   readonly ids: readonly number[];
   readonly whole: boolean;
@@ -90,7 +90,7 @@
   return {ids, whole: body.includes('data: [DONE]')};
 }
 
-/** Whether a stream brought tokens 0 to `count` - 1, each once, in order. */
+/** Whether a complete stream has the tokens 0 to `count` - 1, each once and in order. */
 export function isExactStream(body: string, count: number): boolean {
   const {ids, whole} = readStream(body);
   return whole && ids.length === count && ids.every((id, i) => id === i);
--- a/bench/deployment/childProcess.ts
+++ b/bench/deployment/childProcess.ts
@@ -1,4 +1,4 @@
-/** One process of a deployment under test or measurement. */
+/** A process of a deployment under test or measurement. */
 
 import {ChildProcess, spawn} from 'node:child_process';
 import {createWriteStream} from 'node:fs';
@@ -8,8 +8,8 @@
 import {PortTakenError} from './freePorts';
 
 const START_TIMEOUT_MS = 15_000;
-const PORT_TRIES = 20;
-const PORT_PAUSE_MS = 250;
+const MAX_PORT_ATTEMPTS = 20;
+const PORT_RETRY_INTERVAL_MS = 250;
 
 /** A started program whose first line of stdout is a JSON document. */
 export class Child {
@@ -21,9 +21,9 @@
   ) {}
 
   /**
-   * Starts `node ARGS`; its stderr goes to a file. A port that was free when it
-   * was chosen, or that the process had before, can meanwhile be the near end
-   * of somebody's connection; it is free again once that has ended.
+   * Starts `node ARGS` with stderr appended to `logFile`. Retries while the port
+   * is taken: since it was chosen, or since the process last used it, the kernel
+   * may have given it to an outgoing connection, which frees it when it closes.
    */
   static async start(
     name: string,
@@ -31,14 +31,15 @@
     logFile: string,
     env: Readonly<Record<string, string>> = {}
   ): Promise<Child> {
-    for (let tries = 1; ; tries++) {
+    for (let attempt = 1; ; attempt++) {
       try {
         return await Child.startOnce(name, args, logFile, env);
       } catch (err) {
-        const mayTryAgain = err instanceof PortTakenError && tries < PORT_TRIES;
-        if (!mayTryAgain) throw err;
+        const canRetry =
+          err instanceof PortTakenError && attempt < MAX_PORT_ATTEMPTS;
+        if (!canRetry) throw err;
       }
-      await delay(PORT_PAUSE_MS);
+      await delay(PORT_RETRY_INTERVAL_MS);
     }
   }
 
@@ -60,7 +61,7 @@
     const lines = readline.createInterface({input: child.stdout});
     const timeout = AbortSignal.timeout(START_TIMEOUT_MS);
     const exit = once(child, 'close', {signal: timeout}).then(([code]) => {
-      const detail = `${name} ended with ${code} before it was ready`;
+      const detail = `${name} exited with code ${code} before it was ready`;
       if (portTaken) throw new PortTakenError(detail);
       throw new Error(`${detail}; see ${logFile}`);
     });
@@ -85,7 +86,7 @@
     if (!this.running) return this.process.exitCode;
     const ended = once(this.process, 'exit');
     this.process.kill(signal);
-    // A process that was stopped takes no signal but this one.
+    // A process stopped by SIGSTOP handles other signals only after SIGCONT.
     if (signal !== 'SIGKILL') this.process.kill('SIGCONT');
     await ended;
     return this.process.exitCode;
--- a/bench/deployment/cutRelay.ts
+++ b/bench/deployment/cutRelay.ts
@@ -1,7 +1,7 @@
 /**
- * A TCP relay that can fall silent, as a network partition does: connections
- * stay open and are still accepted, and nothing comes through. What was sent
- * meanwhile arrives late, once the relay is open again.
+ * A TCP relay that simulates a network partition: while it is cut, connections
+ * stay open and new ones are accepted, but no data passes. Data sent meanwhile
+ * is delivered once the relay is healed.
  */
 
 import net, {AddressInfo, Socket} from 'node:net';
@@ -9,7 +9,7 @@
 
 const HOST = '127.0.0.1';
 
-/** Which way nothing comes through. */
+/** The direction in which no data passes. */
 export type CutDirection = 'both' | 'to server' | 'to client';
 
 interface Pair {
@@ -17,7 +17,7 @@
   readonly server: Socket;
 }
 
-/** Relays connections to one port until closed. */
+/** Relays connections to one port of this machine. */
 export class CutRelay {
   private readonly pairs = new Set<Pair>();
   private direction: CutDirection | undefined;
@@ -30,7 +30,7 @@
   }
 
   static async start(toPort: number): Promise<CutRelay> {
-    // Without this a client that ends its half would lose the rest.
+    // Without this, a client that half-closes would lose the rest of the response.
     const listener = net.createServer({allowHalfOpen: true});
     const relay = new CutRelay(listener, toPort);
     await once(listener.listen(0, HOST), 'listening');
@@ -90,7 +90,10 @@
   else source.pause();
 }
 
-/** A reset passes through; a refused connection looks like one cut at once. */
+/**
+ * An error of one side destroys the other. A connection that the server refuses
+ * therefore looks to the client as if it was accepted and closed at once.
+ */
 function forward(source: Socket, sink: Socket): void {
   source.on('data', (chunk: Buffer) => sink.write(chunk));
   source.on('end', () => sink.end());
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -1,4 +1,4 @@
-/** Starts the whole system as separate processes, with fakes as targets. */
+/** Starts the whole system as separate processes, with fakes as its targets. */
 
 import {mkdirSync, mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -11,19 +11,19 @@
 import type {DeploymentShape, PoolShape} from './shape';
 import {VIA_RELAYS} from './viaRelaysEnv';
 
-/** The shared key of all processes. */
+/** The internal key that all processes share. */
 export const SECRET = 'a shared secret for one machine';
 const HOST = '127.0.0.1';
-const STARTED_AT_ONCE = 4;
+const START_BATCH_SIZE = 4;
 
-/** Programs of a build. */
+/** Paths of the built programs. */
 export interface Programs {
   /** The bundle of marlpulley. */
   readonly app: string;
   readonly fakes: string;
 }
 
-/** One target with its agent. */
+/** A target with its agent. */
 export interface TargetPair {
   readonly targetId: string;
   readonly pool: string;
@@ -31,11 +31,11 @@
   readonly fakePort: number;
 }
 
-/** A running deployment; every process is named, and can be ended and restarted. */
+/** A running deployment, whose processes are ended and restarted by name. */
 export class Deployment {
   readonly folder = mkdtempSync(path.join(tmpdir(), 'marlpulley-'));
   readonly targets: TargetPair[] = [];
-  /** Of the links that the shape asks for. */
+  /** Relays of the connections that the shape routes through them. */
   readonly links = new Links();
   private readonly children = new Map<string, Child>();
   private readonly starts = new Map<string, () => Promise<Child>>();
@@ -63,7 +63,7 @@
     return deployment;
   }
 
-  /** Port for callers of an entry, from 0. */
+  /** Port for callers of an entry, by its index from 0. */
   entryPort(index: number): number {
     return this.child(`entry-${index}`).hello.port;
   }
@@ -78,19 +78,19 @@
     return [...this.children.keys()];
   }
 
-  /** Starts a process again under the same settings. */
+  /** Starts a process again with the same settings. */
   async restart(name: string): Promise<void> {
     const start = this.starts.get(name);
     if (start === undefined) throw new Error(`no process named ${name}`);
     this.children.set(name, await start());
   }
 
-  /** Cuts the processes of `shape.island` off from control on the other side. */
+  /** Cuts the relayed connections between the processes of `shape.island` and the rest. */
   cut(direction?: CutDirection): void {
     this.links.cut((from, to) => this.crossesIsland(from, to), direction);
   }
 
-  /** Ends a cut; what was sent meanwhile arrives now. */
+  /** Ends a cut; data sent meanwhile is delivered now. */
   heal(): void {
     this.links.heal();
   }
@@ -99,12 +99,12 @@
     return path.join(this.folder, 'data', controlName);
   }
 
-  /** JSON lines of a role. */
+  /** Log file of a process, with JSON lines. */
   logFile(name: string): string {
     return path.join(this.folder, 'logs', `${name}.log`);
   }
 
-  /** JSON lines of a fake: what it ran, kept when it is killed. */
+  /** File with JSON lines of what a fake ran, which survives a kill of the fake. */
   recordFile(fakeName: string): string {
     return path.join(this.folder, `${fakeName}.record`);
   }
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Ends all processes and cleans up. Resolves with whether every role ended
-   * with code 0, as it does when SIGTERM drains it.
+   * Ends all processes and cleans up. Resolves with whether every process other
+   * than the fakes exited with code 0, as it does when SIGTERM drains it.
    */
   async stop(
     signal: NodeJS.Signals = 'SIGKILL',
@@ -158,8 +158,8 @@
   }
 
   private async startControls(): Promise<void> {
-    // Held while the settings are written: that opens relays, and one of them
-    // could else be given the port of an instance that has yet to start.
+    // The ports are held while the settings are written: writing them opens relays,
+    // and the kernel could give a relay the port of an instance that has yet to start.
     const {ports, release} = await holdPorts(this.shape.controls);
     this.controlPorts = ports;
     const files = await Promise.all(
@@ -192,7 +192,7 @@
     await Promise.all(pairs);
   }
 
-  /** All ranks of a group step together, so one fake holds them all. */
+  /** All ranks of a group step together, so one fake process runs them all. */
   private async startRanks({
     pool,
     group,
@@ -208,9 +208,11 @@
 
   /** Adds targets to a pool until it has `count`, a few at a time. */
   async growPool(shape: PoolShape, count: number): Promise<void> {
-    const held = this.targets.filter(({pool}) => pool === shape.pool).length;
-    for (let from = held; from < count; from += STARTED_AT_ONCE) {
-      const size = Math.min(STARTED_AT_ONCE, count - from);
+    const existing = this.targets.filter(
+      ({pool}) => pool === shape.pool
+    ).length;
+    for (let from = existing; from < count; from += START_BATCH_SIZE) {
+      const size = Math.min(START_BATCH_SIZE, count - from);
       const pairs = Array.from({length: size}, (_, i) =>
         this.startTarget(shape, from + i)
       );
@@ -225,12 +227,12 @@
   ): Promise<void> {
     const {pool, kind} = shape;
     const targetId = `${pool}-${index}`;
-    const known = shape.sharedFake
+    const sharedTarget = shape.sharedFake
       ? this.targets.find(target => target.pool === pool)
       : undefined;
     const fakePort =
       rankPort ??
-      known?.fakePort ??
+      sharedTarget?.fakePort ??
       (await onFreshPort(() => this.startFake(shape, `fake-${targetId}`)));
     const lines = [
       '[target]',
@@ -267,7 +269,7 @@
     await this.startRole('agent', id, file);
   }
 
-  /** Resolves with the port. */
+  /** Starts a fake target; resolves with its port. */
   private async startFake(
     {kind, fakeArgs}: PoolShape,
     name: string
@@ -306,7 +308,7 @@
     return this.startChild(id, ['--require', preload, ...args], env);
   }
 
-  /** Relays from an entry to every agent, as `viaRelays.ts` reads them. */
+  /** Opens relays from an entry to all agents; resolves with the JSON that `viaRelays.ts` reads. */
   private async agentRelays(entry: string): Promise<string | undefined> {
     if (!this.shape.linked) return undefined;
     const relays = [...this.agentPorts].map(async ([agent, port]) => [
@@ -354,7 +356,7 @@
     return island.includes(from) !== island.includes(to);
   }
 
-  /** Control as one process reaches it: through relays where links may fail. */
+  /** Addresses of control for one process, through relays where its links can be cut. */
   private async controlList(processId: string): Promise<string> {
     const isLinked = (id: string) =>
       this.shape.linked
--- a/bench/deployment/freePorts.ts
+++ b/bench/deployment/freePorts.ts
@@ -1,38 +1,38 @@
-/** Ports that the kernel says are free. */
+/** Picks free ports by letting the kernel choose them. */
 
 import net, {AddressInfo} from 'node:net';
 import {once} from 'node:events';
 
-/** Fresh ports that are tried before a start counts as failed. */
-const MAX_FRESH_PORTS = 3;
+/** Maximum number of ports to try before a start fails. */
+const MAX_PORT_ATTEMPTS = 3;
 
-/** Somebody else listens on the port that a process was to listen on. */
+/** The port that a process was told to listen on is already in use. */
 export class PortTakenError extends Error {}
 
 /**
- * Starts a process on a port that `start` chooses anew with each call: between
- * the choice and the listening another process may be given the same one.
+ * Starts a process on a port that `start` chooses anew on each call. Another
+ * process can be given the same port before this one listens on it.
  */
 export async function onFreshPort<T>(start: () => Promise<T>): Promise<T> {
-  for (let tries = 1; ; tries++) {
+  for (let attempt = 1; ; attempt++) {
     try {
       return await start();
     } catch (err) {
-      const mayTryAgain =
-        err instanceof PortTakenError && tries < MAX_FRESH_PORTS;
-      if (!mayTryAgain) throw err;
+      const canRetry =
+        err instanceof PortTakenError && attempt < MAX_PORT_ATTEMPTS;
+      if (!canRetry) throw err;
     }
   }
 }
 
-/** Ports that nobody else is given until they are released. */
+/** Ports that the kernel gives to no other process until they are released. */
 export interface HeldPorts {
   readonly ports: readonly number[];
-  /** Called right before those who are to listen start. */
+  /** To be called right before the processes that listen on them start. */
   release(): Promise<void>;
 }
 
-/** Distinct ports on 127.0.0.1. */
+/** Reserves distinct ports on 127.0.0.1 by listening on them. */
 export async function holdPorts(count: number): Promise<HeldPorts> {
   const servers = Array.from({length: count}, () =>
     net.createServer().listen(0, '127.0.0.1')
@@ -45,7 +45,7 @@
   return {ports, release};
 }
 
-/** Distinct ports for those who listen at once. */
+/** Distinct ports for processes that listen on them right away. */
 export async function freePorts(count: number): Promise<readonly number[]> {
   const held = await holdPorts(count);
   await held.release();
--- a/bench/deployment/links.ts
+++ b/bench/deployment/links.ts
@@ -1,4 +1,4 @@
-/** Relays between named processes, so that any link can fall silent. */
+/** Relays between named processes, each of which can be cut. */
 
 import {CutDirection, CutRelay} from './cutRelay';
 
@@ -8,36 +8,36 @@
   readonly relay: CutRelay;
 }
 
-/** Whether a link is meant: the name of its client, then of its server. */
+/** Selects links by the name of the client process and of the server process. */
 export type LinkFilter = (from: string, to: string) => boolean;
 
 /** All relays of one deployment. */
 export class Links {
   private readonly links: Link[] = [];
 
-  /** Resolves with the port at which `from` reaches `to`. */
+  /** Starts a relay; resolves with the port at which `from` reaches `to`. */
   async open(from: string, to: string, toPort: number): Promise<number> {
     const relay = await CutRelay.start(toPort);
     this.links.push({from, to, relay});
     return relay.port;
   }
 
-  cut(isMeant: LinkFilter, direction?: CutDirection): void {
-    for (const relay of this.meant(isMeant)) relay.cut(direction);
+  cut(isSelected: LinkFilter, direction?: CutDirection): void {
+    for (const relay of this.relaysOf(isSelected)) relay.cut(direction);
   }
 
-  /** What was sent meanwhile arrives now. */
-  heal(isMeant: LinkFilter = () => true): void {
-    for (const relay of this.meant(isMeant)) relay.heal();
+  /** Data sent while the links were cut is delivered now. */
+  heal(isSelected: LinkFilter = () => true): void {
+    for (const relay of this.relaysOf(isSelected)) relay.heal();
   }
 
   close(): void {
     for (const {relay} of this.links) relay.close();
   }
 
-  private meant(isMeant: LinkFilter): readonly CutRelay[] {
+  private relaysOf(isSelected: LinkFilter): readonly CutRelay[] {
     return this.links
-      .filter(({from, to}) => isMeant(from, to))
+      .filter(({from, to}) => isSelected(from, to))
       .map(({relay}) => relay);
   }
 }
--- a/bench/deployment/programs.ts
+++ b/bench/deployment/programs.ts
@@ -1,4 +1,4 @@
-/** Where the built programs are: beside the one that runs. */
+/** Paths of the built programs, which stand beside the running one. */
 
 import path from 'node:path';
 import type {Programs} from './deployment';
--- a/bench/deployment/rulesText.ts
+++ b/bench/deployment/rulesText.ts
@@ -1,10 +1,10 @@
 /** Rule files for the deployments that the bench and the tests start. */
 
-/** What may differ between two revisions. */
+/** The parts of a rule file that differ between revisions. */
 export interface RulesChange {
   readonly revision: number;
   readonly zonesOut?: readonly string[];
-  /** Who asked; two operators write different files under one number. */
+  /** Operator named in the file; makes two files of one revision differ. */
   readonly askedBy?: string;
   readonly extra?: readonly string[];
 }
--- a/bench/deployment/runClient.ts
+++ b/bench/deployment/runClient.ts
@@ -8,7 +8,7 @@
   readonly output: string;
 }
 
-/** `args` name the bundle first. */
+/** Runs `node ARGS`; the first argument is the bundle. */
 export function runClient(args: readonly string[]): Promise<ClientResult> {
   return new Promise(resolve => {
     execFile(process.execPath, args, (err, stdout, stderr) => {
--- a/bench/deployment/shape.ts
+++ b/bench/deployment/shape.ts
@@ -1,15 +1,15 @@
-/** What a deployment consists of. */
+/** The processes of a deployment and their settings. */
 
-/** A pool of like targets, spread over the zones in turn. */
+/** A pool of identical targets, spread over the zones in turn. */
 export interface PoolShape {
   readonly pool: string;
   readonly kind: 'engine' | 'service';
   readonly count: number;
   /** Arguments of the fake, such as `--step-ms 5`. */
   readonly fakeArgs: readonly string[];
-  /** Ranks of one group in lock-step; `count` of them, in one fake. */
+  /** Makes the targets `count` ranks of one group in lock-step, run by one fake. */
   readonly group?: string;
-  /** All agents stand before one fake, to spare the machine. */
+  /** All agents share one fake, to save processes. */
   readonly sharedFake?: boolean;
 }
 
@@ -19,25 +19,25 @@
   readonly controls: number;
   readonly entries: number;
   readonly pools: readonly PoolShape[];
-  /** Extra settings of every agent's `[target]`, lines of INI. */
+  /** Extra INI lines in the `[target]` section of every agent. */
   readonly agentTargetLines?: readonly string[];
-  /** Extra settings of every entry's `[callers]`. */
+  /** Extra INI lines in the `[callers]` section of every entry. */
   readonly callersLines?: readonly string[];
-  /** Lame duck time of entries, milliseconds. */
+  /** Setting `drain-ms` of every entry. */
   readonly drainMs?: number;
   readonly logLevel?: string;
-  /** UDP port on this machine that the counters of all roles go to. */
+  /** UDP port on this machine that receives the counters of all processes. */
   readonly metricsPort?: number;
-  /** Names of processes that `Deployment.cut` parts from the rest of control. */
+  /** Names of the processes that `Deployment.cut` separates from the rest. */
   readonly island?: readonly string[];
   /**
-   * Every process reaches control, and every entry each agent, through a relay
-   * of its own (`Deployment.links`); fakes record what they ran in files.
+   * Every process reaches each control instance, and every entry each agent,
+   * through its own relay (`Deployment.links`). Fakes record what they ran in files.
    */
   readonly linked?: boolean;
 }
 
-/** As much as a test of failures needs. */
+/** A small deployment for tests of failures. */
 export const SMALL: DeploymentShape = {
   zones: ['zone-a', 'zone-b'],
   controls: 3,
@@ -48,7 +48,7 @@
   ],
 };
 
-/** Pool of twelve model workers and three allocation workers. */
+/** A pool of twelve engines and a pool of three allocation services. */
 export const SHANNONSIDE: DeploymentShape = {
   zones: ['quay-a', 'quay-b', 'quay-c'],
   controls: 3,
--- a/bench/deployment/viaRelays.ts
+++ b/bench/deployment/viaRelays.ts
@@ -1,7 +1,7 @@
 /**
- * Loaded into an entry before its program (`node --require`): its connections
- * to some ports go to relays. Agents announce where they listen, so no setting
- * of the system could put a relay between them and an entry.
+ * Preloaded into an entry (`node --require`) to redirect its connections to some
+ * ports to relays. Agents announce the address that they listen on, so no
+ * setting of the system can put a relay between them and an entry.
  */
 
 import net from 'node:net';
@@ -15,16 +15,16 @@
   )
 );
 
-function redirected(options: unknown): unknown {
+function redirect(options: unknown): unknown {
   if (typeof options !== 'object' || options === null) return options;
   if (!('port' in options)) return options;
   const relay = relayByPort.get(Number(options.port));
   return relay === undefined ? options : {...options, port: relay};
 }
 
-// A wrapper of the one method that every outgoing connection passes through.
+// Wraps the method that every outgoing connection goes through.
 const prototype = net.Socket.prototype as unknown as {connect: Connect};
 const connect = prototype.connect;
 prototype.connect = function (this: net.Socket, first, ...rest) {
-  return connect.call(this, redirected(first), ...rest);
+  return connect.call(this, redirect(first), ...rest);
 };
--- a/bench/deployment/viaRelaysEnv.ts
+++ b/bench/deployment/viaRelaysEnv.ts
@@ -1,4 +1,4 @@
-/** What `viaRelays.ts` reads: JSON, relay ports by the ports they stand for. */
+/** The input of `viaRelays.ts`: a JSON object of relay ports by original port. */
 
 /** Name of the environment variable. */
 export const VIA_RELAYS = 'MARLPULLEY_VIA_RELAYS';
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: runs the measures and writes dist/bench-report.html. */
+/** `npm run bench` runs the measures and writes dist/bench-report.html. */
 
 import {writeFileSync} from 'node:fs';
 import path from 'node:path';
@@ -32,7 +32,7 @@
   }
 );
 
-/** A measure with what it found and how long that took. */
+/** The result of one measure, with the time that it took. */
 export interface TimedResult {
   readonly key: string;
   readonly result: MeasureResult;
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -1,16 +1,16 @@
-/** What a measure of the bench takes and gives; kept stable. */
+/** Options and results of a measure. The shape of the results is stable. */
 
 /** Options of a run. */
 export interface MeasureOptions {
-  /** Shorter runs, for the whole bench in under 50 seconds. */
+  /** Shorter runs: all measures together take under 50 seconds. */
   readonly quick: boolean;
   readonly seed: number;
 }
 
-/** Named figures; the unit stands at the end of each name. */
+/** Figures by name; each name ends in its unit. */
 export type Figures = Readonly<Record<string, number>>;
 
-/** One bar or line of the report. */
+/** One chart of the report. */
 export interface Plot {
   readonly title: string;
   /** Unit of the vertical axis. */
@@ -18,27 +18,27 @@
   readonly series: readonly PlotSeries[];
 }
 
-/** Points of one line; several points draw a line, single ones a bar. */
+/** One series of a chart: a line if it has several points, else a bar. */
 export interface PlotSeries {
   readonly name: string;
   readonly points: readonly {readonly x: number; readonly y: number}[];
 }
 
-/** What a measure found; `ours` and each baseline come from the same run. */
+/** Result of a measure; `ours` and all baselines come from the same run. */
 export interface MeasureResult {
   readonly ours: Figures;
   readonly baselines: Readonly<Record<string, Figures>>;
-  /** Best reachable values, where there are any. */
+  /** Best values that any policy could reach, where they are known. */
   readonly bound?: Figures;
-  /** The marks to reach, in words. */
+  /** The goals to reach, in words. */
   readonly mark: string;
   readonly met: boolean;
-  /** Plain reason for falling short; absent when met. */
+  /** Why the goal was missed; absent when it was met. */
   readonly cause?: string;
   readonly plots?: readonly Plot[];
 }
 
-/** One measure; `key` is its key in the JSON. */
+/** A measure; `key` identifies it in the JSON output and in `--only`. */
 export interface Measure {
   readonly key: string;
   run(options: MeasureOptions): Promise<MeasureResult>;
--- a/bench/measures.ts
+++ b/bench/measures.ts
@@ -13,7 +13,7 @@
 import {subsets} from './measures/subsets';
 import {zoneOutage} from './measures/zoneOutage';
 
-/** One entry a measure; each stands in a file of its own in bench/measures. */
+/** All measures; each is defined in its own file in bench/measures. */
 export const MEASURES: readonly Measure[] = [
   stepTimeSkew,
   rebalanceCost,
--- a/bench/mutants.ts
+++ b/bench/mutants.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run mutants [-- AREA]`: takes one safeguard away at a time and expects
- * the named test to go red. The lists stand in bench/mutants, one an area.
+ * `npm run mutants [-- AREA]` removes one safeguard at a time and expects the
+ * named test to fail. The mutants are listed in bench/mutants, one file per area.
  */
 
 import {spawnSync} from 'node:child_process';
@@ -19,11 +19,11 @@
 import {TEXT_CHANGE, changeText} from './textChange';
 
 const MUTANT = TEXT_CHANGE.extend({
-  /** Promise of the brief that the safeguard serves. */
+  /** The promise to users that the safeguard keeps. */
   promise: z.string(),
-  /** What is taken away. */
+  /** The safeguard that the change removes. */
   safeguard: z.string(),
-  /** Spec file, and a part of the test's name. */
+  /** Spec file; `name` is a part of the title of the test that must fail. */
   test: z.string(),
   name: z.string(),
 });
@@ -44,7 +44,7 @@
   'tsconfig.json',
 ];
 
-/** A scratch copy of the sources, so that the work tree is never touched. */
+/** Copies the sources to a temporary folder, so that the work tree stays untouched. */
 function scratchCopy(): string {
   const dir = mkdtempSync(path.join(tmpdir(), 'marlpulley-mutants-'));
   for (const name of COPIED.filter(name => existsSync(path.join(ROOT, name))))
@@ -69,12 +69,12 @@
     start < 0
       ? {numPassedTests: 0, numFailedTests: 0}
       : JSON.parse(run.stdout.slice(start));
-  const counted = report.numPassedTests + report.numFailedTests > 0;
-  return {failed: report.numFailedTests > 0, ran: counted};
+  const hasRun = report.numPassedTests + report.numFailedTests > 0;
+  return {failed: report.numFailedTests > 0, ran: hasRun};
 }
 
-/** Why a mutant does not show its safeguard, or undefined when it does. */
-function judge(dir: string, mutant: Mutant): string | undefined {
+/** Why a mutant was not caught by its test, or undefined if it was. */
+function checkMutant(dir: string, mutant: Mutant): string | undefined {
   const {file, find, replace} = mutant;
   const undo = changeText(dir, {file, find, replace});
   if (typeof undo === 'string') return undo;
@@ -103,11 +103,11 @@
       )
   );
   const dir = scratchCopy();
-  let bad = 0;
+  let notCaught = 0;
   try {
     for (const mutant of mutants) {
-      const fault = judge(dir, mutant);
-      if (fault !== undefined) bad++;
+      const fault = checkMutant(dir, mutant);
+      if (fault !== undefined) notCaught++;
       process.stdout.write(
         `${fault ?? 'caught'}: ${mutant.promise}: ${mutant.safeguard}\n`
       );
@@ -116,9 +116,9 @@
     rmSync(dir, {recursive: true});
   }
   process.stdout.write(
-    `${mutants.length - bad} of ${mutants.length} mutants caught\n`
+    `${mutants.length - notCaught} of ${mutants.length} mutants caught\n`
   );
-  return bad === 0 && mutants.length > 0 ? 0 : 1;
+  return notCaught === 0 && mutants.length > 0 ? 0 : 1;
 }
 
 process.exitCode = main();
--- a/bench/quickstart.ts
+++ b/bench/quickstart.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run quickstart`: the whole system as separate processes, real calls
- * through it, a zone out and back, and a summary. Fails if any line is wrong.
+ * `npm run quickstart` starts the whole system as separate processes, sends real
+ * calls through it, takes a zone out and back in, and prints a summary. It fails
+ * if any line of the summary is wrong.
  */
 
 import {
@@ -16,12 +17,12 @@
 import {rulesText} from './deployment/rulesText';
 import {SHANNONSIDE} from './deployment/shape';
 
-const OUT_ZONE = 'quay-b';
+const ZONE_TO_TAKE_OUT = 'quay-b';
 const WHOLE_CALLS = 30;
 const STREAMS = 6;
 const STREAM_TOKENS = 24;
 const READS = 12;
-const RETURN_TRIES = 200;
+const MAX_CALLS_UNTIL_RETURN = 200;
 
 /** One line of the summary. */
 interface Check {
@@ -30,7 +31,7 @@
   readonly ok: boolean;
 }
 
-/** What the calls of one round came to. */
+/** Responses to the calls of one round, and the zones that sent them. */
 interface Round {
   readonly answers: readonly CallerAnswer[];
   readonly zones: ReadonlySet<string>;
@@ -45,11 +46,11 @@
     await this.submit(1, []);
     await this.serveEverything();
     await this.assignOnce();
-    await this.submit(2, [OUT_ZONE]);
+    await this.submit(2, [ZONE_TO_TAKE_OUT]);
     await this.serveWithoutZone();
     await this.submit(3, []);
     await this.serveWithZoneBack();
-    await this.showStatus();
+    await this.checkStatus();
   }
 
   private check(what: string, seen: string, ok: boolean): void {
@@ -171,28 +172,32 @@
     const good = answers.filter(answer => answer.status === 200).length;
     const seen = `${good} of ${WHOLE_CALLS} served, from ${[...zones].sort().join(', ')}`;
     this.check(
-      `with ${OUT_ZONE} out`,
+      `with ${ZONE_TO_TAKE_OUT} out`,
       seen,
-      good === WHOLE_CALLS && !zones.has(OUT_ZONE)
+      good === WHOLE_CALLS && !zones.has(ZONE_TO_TAKE_OUT)
     );
   }
 
   private async serveWithZoneBack(): Promise<void> {
-    for (let i = 1; i <= RETURN_TRIES; i++) {
+    for (let i = 1; i <= MAX_CALLS_UNTIL_RETURN; i++) {
       const answer = await chat(this.port(i), `back ${i}`, 2, false);
       if (answer.status !== 200) break;
-      if (this.zoneOf(answer.target) !== OUT_ZONE) continue;
+      if (this.zoneOf(answer.target) !== ZONE_TO_TAKE_OUT) continue;
       this.check(
-        `with ${OUT_ZONE} back`,
+        `with ${ZONE_TO_TAKE_OUT} back`,
         `served there again at call ${i}`,
         true
       );
       return;
     }
-    this.check(`with ${OUT_ZONE} back`, 'not served there again', false);
+    this.check(
+      `with ${ZONE_TO_TAKE_OUT} back`,
+      'not served there again',
+      false
+    );
   }
 
-  private async showStatus(): Promise<void> {
+  private async checkStatus(): Promise<void> {
     const {code, output} = await this.deployment.client(['status']);
     const instances = output
       .split('\n')
@@ -221,16 +226,16 @@
   const startMs = Math.round(performance.now() - startedAtMs);
   process.stdout.write(`${count} processes started in ${startMs} ms\n\n`);
   const quickstart = new Quickstart(deployment);
-  let clean = true;
+  let isClean = true;
   try {
     await quickstart.run();
   } finally {
-    clean = await deployment.stop('SIGTERM');
+    isClean = await deployment.stop('SIGTERM');
   }
   quickstart.checks.push({
     what: 'graceful end',
-    seen: clean ? 'every process drained' : 'not clean',
-    ok: clean,
+    seen: isClean ? 'every process drained' : 'not clean',
+    ok: isClean,
   });
   print(quickstart.checks);
   const ok = quickstart.checks.every(check => check.ok);
--- a/bench/textChange.ts
+++ b/bench/textChange.ts
@@ -1,33 +1,34 @@
-/** A change of one text in one file, by which a mechanism is taken out. */
+/** A text replacement in a source file, which removes a mechanism. */
 
 import {readFileSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 import * as z from 'zod';
 
-/** What is replaced where. */
+/** Schema of a text replacement. */
 export const TEXT_CHANGE = z.strictObject({
   file: z.string(),
   find: z.string(),
   replace: z.string(),
 });
-/** What is replaced where. */
+/** Replaces `find` by `replace` in `file`. */
 export type TextChange = z.infer<typeof TEXT_CHANGE>;
 
 /**
- * Carries it out below a folder; returns why it does not fit, or what undoes
- * it. The text must match once: a change that fits nowhere takes nothing out.
+ * Applies a change to the checkout `dir`. Returns a function that undoes it, or
+ * the reason why it was not applied. The text must match exactly once, since a
+ * change that matches nowhere would silently remove nothing.
  */
 export function changeText(
   dir: string,
   {file, find, replace}: TextChange
 ): string | (() => void) {
-  const place = path.join(dir, file);
-  const original = readFileSync(place, 'utf8');
+  const filePath = path.join(dir, file);
+  const original = readFileSync(filePath, 'utf8');
   const matches = original.split(find).length - 1;
   if (matches !== 1) return `the text matches ${matches} times in ${file}`;
   writeFileSync(
-    place,
+    filePath,
     original.replace(find, () => replace)
   );
-  return () => writeFileSync(place, original);
+  return () => writeFileSync(filePath, original);
 }
