--- a/bench/faults/check.ts
+++ b/bench/faults/check.ts
@@ -1,16 +1,16 @@
-/** Judges the promises over a history; pure. */
+/** Checks a recorded history against the promises, as a pure function. */
 
 import {leavingRuns, zoneRuns} from './checkNewWork';
 import {History, Sent, ofKind} from './history';
 import {unexplainedLosses} from './losses';
 
-/** One broken promise. */
+/** One violation of a promise. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly detail: string;
 }
 
-/** Promises that a history can show broken; expert maps are in none. */
+/** Promises that a history can show to be violated; none covers expert maps. */
 export type PromiseName =
   | 'not run'
   | 'at most once'
@@ -25,8 +25,8 @@
 type Check = (history: History) => readonly string[];
 
 const CHECKS: Readonly<Record<PromiseName, Check>> = {
-  'not run': refusedButRan,
-  'at most once': ranTwice,
+  'not run': runsRefusedAsNotRun,
+  'at most once': repeatedRuns,
   'cold start': history =>
     ofKind(history, 'fell over').map(
       ({target}) => `${target} got more than it could bear`
@@ -34,18 +34,18 @@
   'zone out': zoneRuns,
   'leaving target': leavingRuns,
   'whole answers': history => [
-    ...wrongAnswers(history),
-    ...differingAnswers(history),
+    ...wrongResponses(history),
+    ...differingResponses(history),
     ...unexplainedLosses(history, 'steady'),
   ],
   'graceful shutdown': history => [
-    ...badExits(history),
+    ...uncleanExits(history),
     ...unexplainedLosses(history, 'shutdown'),
   ],
   'never reverts': history => [
-    ...reverts(history),
-    ...twoWinners(history),
-    ...lostFiles(history),
+    ...revertedRevisions(history),
+    ...conflictingAcceptances(history),
+    ...lostRevisions(history),
   ],
   heals: history =>
     ofKind(history, 'settled').flatMap(({missing}) =>
@@ -53,7 +53,7 @@
     ),
 };
 
-/** All violations. */
+/** All violations that the history shows. */
 export function check(history: History): readonly Violation[] {
   const promises = Object.keys(CHECKS) as readonly PromiseName[];
   return promises.flatMap(promise =>
@@ -61,12 +61,12 @@
   );
 }
 
-/** Sendings by their id. */
+/** Sent calls by call id. */
 function sentById(history: History): ReadonlyMap<string, Sent> {
   return new Map(ofKind(history, 'sent').map(sent => [sent.callId, sent]));
 }
 
-function refusedButRan(history: History): readonly string[] {
+function runsRefusedAsNotRun(history: History): readonly string[] {
   const ran = new Map(ofKind(history, 'ran').map(run => [run.callId, run]));
   return ofKind(history, 'answered').flatMap(({callId, result}) => {
     const run = ran.get(callId);
@@ -76,11 +76,11 @@
   });
 }
 
-function ranTwice(history: History): readonly string[] {
-  const once = sentById(history);
+function repeatedRuns(history: History): readonly string[] {
+  const sent = sentById(history);
   const byKey = new Map<string, string[]>();
   for (const {callId, key, target} of ofKind(history, 'ran')) {
-    if (key === undefined || once.get(callId)?.call !== 'once') continue;
+    if (key === undefined || sent.get(callId)?.call !== 'once') continue;
     byKey.set(key, [...(byKey.get(key) ?? []), `${callId} at ${target}`]);
   }
   return [...byKey]
@@ -90,14 +90,14 @@
     );
 }
 
-function wrongAnswers(history: History): readonly string[] {
+function wrongResponses(history: History): readonly string[] {
   return ofKind(history, 'answered').flatMap(({callId, result}) =>
     result.kind === 'wrong' ? [`${callId}: ${result.detail}`] : []
   );
 }
 
-/** A resend under a key gets the recorded answer. */
-function differingAnswers(history: History): readonly string[] {
+/** Keys whose resends got different bodies; a resend must get the recorded response. */
+function differingResponses(history: History): readonly string[] {
   const sent = sentById(history);
   const bodies = new Map<string, string>();
   const found: string[] = [];
@@ -111,7 +111,7 @@
   return found;
 }
 
-function badExits(history: History): readonly string[] {
+function uncleanExits(history: History): readonly string[] {
   const disturbed = ofKind(history, 'disturbed');
   return ofKind(history, 'left').flatMap(({process, atMs, code}) => {
     const wasKilled = disturbed.some(
@@ -124,8 +124,8 @@
   });
 }
 
-/** Also across restarts: the events of one process go on after them. */
-function reverts(history: History): readonly string[] {
+/** Processes that went back to an older revision, also across their restarts. */
+function revertedRevisions(history: History): readonly string[] {
   const highest = new Map<string, number>();
   const found: string[] = [];
   const byTime = [...ofKind(history, 'in force')].sort(
@@ -140,7 +140,7 @@
   return found;
 }
 
-function twoWinners(history: History): readonly string[] {
+function conflictingAcceptances(history: History): readonly string[] {
   const texts = new Map<number, string>();
   return ofKind(history, 'accepted').flatMap(({revision, text}) => {
     const known = texts.get(revision) ?? text;
@@ -149,8 +149,8 @@
   });
 }
 
-/** What is in force in the end is the last file that was accepted, or a later. */
-function lostFiles(history: History): readonly string[] {
+/** The revision held in the end must be the last accepted one or a later one. */
+function lostRevisions(history: History): readonly string[] {
   const accepted = ofKind(history, 'accepted');
   return ofKind(history, 'settled').flatMap(({atMs, revision, text}) => {
     const before = accepted.filter(one => one.atMs <= atMs);
--- a/bench/faults/checkNewWork.ts
+++ b/bench/faults/checkNewWork.ts
@@ -1,13 +1,13 @@
-/** New work where none may go: a zone that is out, a target that leaves. */
+/** Finds new work in zones that are out and at targets that are leaving. */
 
 import {Accepted, Disturbed, History, Ran, ofKind} from './history';
 
-/** The mark for new work to stop; `proof-ms` is 2.5 s of it. */
-const ZONE_BOUND_MS = 3_000;
-/** The gate refuses at once; the rest is for the signal and the machine. */
-const LEAVING_BOUND_MS = 1_000;
-/** What waited in the sockets of a frozen process comes this soon after. */
-const THAW_MS = 1_000;
+/** Time allowed until new work in the zone stops; `proof-ms` takes 2.5 s of it. */
+const MAX_ZONE_OUT_DELAY_MS = 3_000;
+/** The gate refuses new work at once; the margin covers signal delivery and a busy machine. */
+const MAX_LEAVING_DELAY_MS = 1_000;
+/** Time after a thaw within which a process has read what waited in its sockets. */
+const THAW_BACKLOG_MS = 1_000;
 
 interface Interval {
   readonly fromMs: number;
@@ -18,7 +18,7 @@
   readonly availabilityZone: string;
 }
 
-/** Runs in a zone later than the bound after it went out. */
+/** Runs in a zone that began later than the bound after it was taken out. */
 export function zoneRuns(history: History): readonly string[] {
   const outs = zonesOut(ofKind(history, 'accepted'));
   const frozen = freezes(history);
@@ -27,7 +27,7 @@
     const out = outs.find(
       one =>
         one.availabilityZone === run.availabilityZone &&
-        beganMs > one.fromMs + ZONE_BOUND_MS &&
+        beganMs > one.fromMs + MAX_ZONE_OUT_DELAY_MS &&
         beganMs < one.toMs
     );
     if (out === undefined) return [];
@@ -36,7 +36,7 @@
   });
 }
 
-/** Runs at targets whose agents leave, by time since they were told. */
+/** Runs at targets whose agents are leaving, with the time since SIGTERM. */
 export function leavingDelaysMs(
   history: History
 ): readonly {readonly run: Ran; readonly afterMs: number}[] {
@@ -44,7 +44,7 @@
   const leavings = ofKind(history, 'leaving').map(({process, atMs}) => ({
     target: process.replace(/^agent-/, ''),
     fromMs: thawedAtMs(frozen, process, atMs),
-    toMs: startedAfter(history, process, atMs),
+    toMs: nextStartMs(history, process, atMs),
   }));
   return ofKind(history, 'ran').flatMap(run => {
     const beganMs = beganAtMs(frozen, run);
@@ -57,10 +57,10 @@
   });
 }
 
-/** Runs at a target later than the bound after its agent was told to end. */
+/** Runs at a target that began later than the bound after SIGTERM to its agent. */
 export function leavingRuns(history: History): readonly string[] {
   return leavingDelaysMs(history)
-    .filter(({afterMs}) => afterMs > LEAVING_BOUND_MS)
+    .filter(({afterMs}) => afterMs > MAX_LEAVING_DELAY_MS)
     .map(
       ({run, afterMs}) =>
         `${run.callId} ran at ${run.target}, ${Math.round(afterMs)} ms after SIGTERM`
@@ -68,45 +68,47 @@
 }
 
 /**
- * From the acceptance that took a zone out to the sending of the file that
- * brings it back: in between it is out whatever was accepted besides.
+ * Intervals in which a zone is certainly out: from the acceptance of the
+ * revision that takes it out until the revision that brings it back is sent.
+ * Revisions in between also list the zone as out.
  */
 function zonesOut(accepted: readonly Accepted[]): readonly ZoneOut[] {
   const byRevision = [...accepted].sort((a, b) => a.revision - b.revision);
-  const since = new Map<string, number>();
+  const outSinceMs = new Map<string, number>();
   const outs: ZoneOut[] = [];
   for (const {atMs, sentAtMs, zonesOut} of byRevision) {
-    for (const [availabilityZone, fromMs] of since) {
+    for (const [availabilityZone, fromMs] of outSinceMs) {
       if (zonesOut.includes(availabilityZone)) continue;
       outs.push({availabilityZone, fromMs, toMs: sentAtMs});
-      since.delete(availabilityZone);
+      outSinceMs.delete(availabilityZone);
     }
-    for (const zone of zonesOut) if (!since.has(zone)) since.set(zone, atMs);
+    for (const zone of zonesOut)
+      if (!outSinceMs.has(zone)) outSinceMs.set(zone, atMs);
   }
-  const open = [...since].map(([availabilityZone, fromMs]) => ({
+  const stillOut = [...outSinceMs].map(([availabilityZone, fromMs]) => ({
     availabilityZone,
     fromMs,
     toMs: Infinity,
   }));
-  return [...outs, ...open];
+  return [...outs, ...stillOut];
 }
 
 /**
- * When the run was handed to its target. A frozen target reads what reached
- * its socket before and during the freeze only when it wakes; the record then
- * tells of the wake, so it is judged as of the freeze.
+ * Time at which the request reached its target. A frozen target reads what
+ * reached its socket before and during the freeze only after the thaw, and
+ * records that later time. Such a run counts as begun at the start of the freeze.
  */
 function beganAtMs(frozen: readonly Disturbed[], {target, atMs}: Ran): number {
   const freeze = frozen.find(
     ({processes, fromMs, toMs}) =>
       processes.includes(`fake-${target}`) &&
       atMs >= fromMs &&
-      atMs <= toMs + THAW_MS
+      atMs <= toMs + THAW_BACKLOG_MS
   );
   return freeze === undefined ? atMs : Math.min(atMs, freeze.fromMs);
 }
 
-/** A frozen process gets the signal when it wakes. */
+/** Time at which a process gets a signal: a frozen one gets it at the thaw. */
 function thawedAtMs(
   frozen: readonly Disturbed[],
   process: string,
@@ -119,7 +121,7 @@
   return freeze?.toMs ?? atMs;
 }
 
-function startedAfter(history: History, process: string, atMs: number): number {
+function nextStartMs(history: History, process: string, atMs: number): number {
   const starts = ofKind(history, 'started')
     .filter(one => one.process === process && one.atMs > atMs)
     .map(one => one.atMs);
--- a/bench/faults/expected.ts
+++ b/bench/faults/expected.ts
@@ -1,4 +1,4 @@
-/** What the fakes answer to a caller's own request. */
+/** Compares responses with what the fakes send for the caller's own request. */
 
 import {createHash} from 'node:crypto';
 import * as z from 'zod';
@@ -21,20 +21,20 @@
 });
 const ECHO = z.object({path: z.string()});
 
-/** Judges a whole chat completion of one user message. */
-export function judgeWhole(
+/** Classifies the response to an unstreamed chat completion of one user message. */
+export function classifyCompletion(
   answer: CallerAnswer,
   prompt: string,
   tokens: number
 ): CallResult {
-  return judge(answer, body => {
+  return classify(answer, body => {
     const {choices} = COMPLETION.parse(JSON.parse(body));
-    return choices[0]?.message.content === answerText(prompt, tokens);
+    return choices[0]?.message.content === expectedText(prompt, tokens);
   });
 }
 
-/** Judges a stream: every token once and the caller's own, or visibly cut. */
-export function judgeStream(
+/** Classifies a stream: the caller's own tokens, each once, or a stream that reports its cut. */
+export function classifyStream(
   answer: CallerAnswer,
   prompt: string,
   tokens: number
@@ -42,48 +42,48 @@
   const {body} = answer;
   if (body.includes('event: error') && !body.includes('[DONE]'))
     return {kind: 'broken', detail: 'stream-cut'};
-  return judge(
+  return classify(
     answer,
     () =>
       isExactStream(body, tokens) &&
-      streamText(body) === answerText(prompt, tokens)
+      streamText(body) === expectedText(prompt, tokens)
   );
 }
 
-/** Judges the echo of a path. */
-export function judgeRead(answer: CallerAnswer, path: string): CallResult {
-  return judge(answer, body => ECHO.parse(JSON.parse(body)).path === path);
+/** Classifies the response to an echo request, by its path. */
+export function classifyRead(answer: CallerAnswer, path: string): CallResult {
+  return classify(answer, body => ECHO.parse(JSON.parse(body)).path === path);
 }
 
-/** Judges a keyed assignment; its body is kept, since resends get the same. */
-export function judgeOnce(
+/** Classifies a keyed assignment; keeps the body, since resends must get the same one. */
+export function classifyAssignment(
   answer: CallerAnswer,
   key: string,
   box: string
 ): CallResult {
-  const result = judge(answer, body => {
+  const result = classify(answer, body => {
     const assigned = ASSIGNED.parse(JSON.parse(body));
     return assigned.key === key && assigned.accepted.box === box;
   });
   return result.kind === 'whole' ? {...result, body: answer.body} : result;
 }
 
-function judge(
+function classify(
   answer: CallerAnswer,
-  isOwn: (body: string) => boolean
+  isExpected: (body: string) => boolean
 ): CallResult {
   const {status, reason, outcome, body} = answer;
   if (status >= 400) return refusalOf(answer);
   try {
-    if (isOwn(body)) return {kind: 'whole'};
+    if (isExpected(body)) return {kind: 'whole'};
   } catch {
-    // No such document: judged below.
+    // Not the expected document: reported below.
   }
   const detail = `${status} ${reason} ${outcome}: ${body.slice(-200)}`;
   return {kind: 'wrong', detail};
 }
 
-/** An honest refusal names a known reason, and the outcome that goes with it. */
+/** Classifies an error; a valid refusal names a known reason and an outcome. */
 function refusalOf({status, reason, outcome, body}: CallerAnswer): CallResult {
   if (!(reason in REFUSALS)) {
     const detail = `${status} without a reason: ${body.slice(-200)}`;
@@ -94,7 +94,7 @@
   return {kind: 'refused', reason: reason as RefusalReason, outcome};
 }
 
-function answerText(prompt: string, tokens: number): string {
+function expectedText(prompt: string, tokens: number): string {
   const digest = createHash('sha256').update(`user\n${prompt}`).digest('hex');
   return Array.from({length: tokens}, (_, i) =>
     tokenAt(digest, MODEL_VERSION, i)
--- a/bench/faults/faultRun.ts
+++ b/bench/faults/faultRun.ts
@@ -1,4 +1,4 @@
-/** One pair of faults over a running deployment, and what was recorded. */
+/** Runs pairs of faults on a deployment and records the history. */
 
 import {readFileSync} from 'node:fs';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -11,22 +11,22 @@
 import {Operators} from './operators';
 import {Traffic} from './traffic';
 
-const LATEST_START_MS = 1_000;
-const SHORTEST_MS = 1_000;
-/** Longer than the mark for a zone that is out and than a stall between tokens. */
-const LONGEST_MS = 6_500;
-const ZONE_OUT = 0.7;
-const QUICK_RETURN = 0.3;
-const HEAL_BOUND_MS = 15_000;
-const LOOK_MS = 100;
+const MAX_START_DELAY_MS = 1_000;
+const MIN_FAULT_MS = 1_000;
+/** Longer than the bound for a zone that is out and than the stall timeout between tokens. */
+const MAX_FAULT_MS = 6_500;
+const ZONE_OUT_PROBABILITY = 0.7;
+const QUICK_RETURN_PROBABILITY = 0.3;
+const MAX_RECOVERY_MS = 15_000;
+const POLL_INTERVAL_MS = 100;
 
-/** A pair, and how long the system took to be whole after it. */
+/** A pair of faults, and the time until the system had recovered from it. */
 export interface FaultRunResult {
   readonly pair: readonly [string, string];
   readonly healedMs: number;
 }
 
-/** Runs one seed after another over one deployment, into one history. */
+/** Runs seeds one after the other on one deployment, with one common history. */
 export class FaultRunner {
   private readonly events: FaultEvent[] = [];
   private readonly operators: Operators;
@@ -38,34 +38,42 @@
     this.operators = new Operators(control, this.record);
   }
 
-  /** Submits the first rules and waits until all serve. */
+  /** Submits the first rules and waits until every process serves. */
   async prepare(): Promise<void> {
     await this.operators.submit();
     const traffic = this.traffic(new SeededRandom(0), 'first');
     await traffic.stop();
-    const missing = await this.settle(traffic, Date.now());
+    const missing = await this.waitForRecovery(traffic, Date.now());
     if (missing.length > 0) throw new Error(missing.join(', '));
   }
 
   async run(seed: number): Promise<FaultRunResult> {
     const random = new SeededRandom(seed);
-    // The order of names is that in which the processes happened to start.
+    // Sorted, since the order in which processes start varies between runs of a seed.
     const names = [...this.deployment.names()].sort();
     const [first, second] = pickPair(random, names);
-    const [firstMs, secondMs, zonesMs] = times(random, 0, LATEST_START_MS);
-    const [firstHoldMs, secondHoldMs] = times(random, SHORTEST_MS, LONGEST_MS);
+    const [firstMs, secondMs, zonesMs] = pickTimes(
+      random,
+      0,
+      MAX_START_DELAY_MS
+    );
+    const [firstHoldMs, secondHoldMs] = pickTimes(
+      random,
+      MIN_FAULT_MS,
+      MAX_FAULT_MS
+    );
     const zoneChanges = pickZoneChanges(random, this.deployment.shape.zones);
     const traffic = this.traffic(random, `${seed}`);
     const {deployment, control, operators, record} = this;
-    const world = {deployment, control, operators, traffic, record};
+    const context = {deployment, control, operators, traffic, record};
     await Promise.all([
-      delay(firstMs).then(() => runFault(world, first, firstHoldMs)),
-      delay(secondMs).then(() => runFault(world, second, secondHoldMs)),
+      delay(firstMs).then(() => runFault(context, first, firstHoldMs)),
+      delay(secondMs).then(() => runFault(context, second, secondHoldMs)),
       delay(zonesMs).then(() => this.changeZones(zoneChanges)),
     ]);
     const sinceMs = Date.now();
     await this.operators.submit([]);
-    await this.settle(traffic, sinceMs);
+    await this.waitForRecovery(traffic, sinceMs);
     await traffic.stop();
     return {
       pair: [describeFault(first), describeFault(second)],
@@ -73,15 +81,15 @@
     };
   }
 
-  /** All runs so far, with what the targets and the processes wrote down. */
+  /** Events of all runs so far, with those from the records of fakes and the logs. */
   history(): History {
     const names = this.deployment.names();
     return [
       ...this.events,
-      ...this.deployment.targets.flatMap(target => this.recorded(target)),
+      ...this.deployment.targets.flatMap(target => this.targetEvents(target)),
       ...names
         .filter(name => /^(entry|agent)-/.test(name))
-        .flatMap(name => rulesInForce(name, this.deployment.logFile(name))),
+        .flatMap(name => appliedRevisions(name, this.deployment.logFile(name))),
     ];
   }
 
@@ -99,23 +107,23 @@
     for (const zonesOut of changes) await this.operators.submit(zonesOut);
   }
 
-  private async settle(
+  private async waitForRecovery(
     traffic: Traffic,
     sinceMs: number
   ): Promise<readonly string[]> {
     for (;;) {
-      const seen = await this.missing(traffic);
-      const isOver = Date.now() - sinceMs > HEAL_BOUND_MS;
-      if (seen.missing.length > 0 && !isOver) {
-        await delay(LOOK_MS);
+      const state = await this.unmetConditions(traffic);
+      const isTimeout = Date.now() - sinceMs > MAX_RECOVERY_MS;
+      if (state.missing.length > 0 && !isTimeout) {
+        await delay(POLL_INTERVAL_MS);
         continue;
       }
-      this.record({kind: 'settled', sinceMs, atMs: Date.now(), ...seen});
-      return seen.missing;
+      this.record({kind: 'settled', sinceMs, atMs: Date.now(), ...state});
+      return state.missing;
     }
   }
 
-  private async missing(traffic: Traffic) {
+  private async unmetConditions(traffic: Traffic) {
     const status = await this.control.status().catch(() => undefined);
     if (status === undefined)
       return {missing: ['control answers'], revision: 0, text: ''};
@@ -137,7 +145,7 @@
     return {missing, revision, text: rulesText};
   }
 
-  private recorded({targetId, availabilityZone}: TargetPair): History {
+  private targetEvents({targetId, availabilityZone}: TargetPair): History {
     const file = this.deployment.recordFile(`fake-${targetId}`);
     return readRecord(file).map(line =>
       toEvent(line, targetId, availabilityZone)
@@ -145,7 +153,7 @@
   }
 }
 
-/** Two wiped disks of three are a lost majority, which nothing survives. */
+/** Picks two faults, but never two wipes: two lost disks of three lose the quorum. */
 function pickPair(
   random: SeededRandom,
   names: readonly string[]
@@ -157,17 +165,17 @@
   }
 }
 
-/** A zone goes out while the faults last, sometimes out, in and out again. */
+/** Rule changes during the faults: none, a zone out, or a zone out, in and out again. */
 function pickZoneChanges(
   random: SeededRandom,
   zones: readonly string[]
 ): readonly (readonly string[])[] {
-  if (!random.chance(ZONE_OUT)) return [];
+  if (!random.chance(ZONE_OUT_PROBABILITY)) return [];
   const out = [random.pick(zones)];
-  return random.chance(QUICK_RETURN) ? [out, [], out] : [out];
+  return random.chance(QUICK_RETURN_PROBABILITY) ? [out, [], out] : [out];
 }
 
-function times(
+function pickTimes(
   random: SeededRandom,
   low: number,
   high: number
@@ -185,8 +193,8 @@
   return {kind: 'ran', atMs, target, availabilityZone, callId, key};
 }
 
-/** The log line with which a process takes a revision. */
-function rulesInForce(process: string, logFile: string): History {
+/** Reads from a log when a process applied which revision. */
+function appliedRevisions(process: string, logFile: string): History {
   return readFileSync(logFile, 'utf8')
     .split('\n')
     .filter(line => line.includes('"msg":"rules in force"'))
--- a/bench/faults/faultShape.ts
+++ b/bench/faults/faultShape.ts
@@ -1,8 +1,8 @@
-/** The deployment under pairs of faults. */
+/** The deployment that pairs of faults run on. */
 
 import type {DeploymentShape} from '../deployment/shape';
 
-/** Engines start cold and bear what the rules' `warmup` gives a cold one. */
+/** Engines start cold, and their cold capacity is the start limit of the rules' `warmup`. */
 const ENGINE_ARGS = ['--step-ms', '5', '--start-cold'];
 const COLD_ARGS = ['--cold-capacity', '4', '--warmup-ms', '2000'];
 
--- a/bench/faults/faults.ts
+++ b/bench/faults/faults.ts
@@ -1,4 +1,4 @@
-/** The faults of a run: each begins, lasts and is undone by itself. */
+/** The kinds of faults, each of which is injected, held and undone on its own. */
 
 import {rmSync} from 'node:fs';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -11,18 +11,18 @@
 import type {Operators} from './operators';
 import type {Traffic} from './traffic';
 
-/** Time in which the platform's balancer sees that an entry is not ready. */
-const BALANCER_MS = 200;
-const FAR_BEHIND_REVISIONS = 60;
-const RACES = 5;
-const RESTART_TRIES = 5;
+/** Time until the platform's balancer detects that an entry is not ready. */
+const READINESS_DETECTION_MS = 200;
+const MISSED_REVISIONS = 60;
+const RACE_COUNT = 5;
+const MAX_RESTART_ATTEMPTS = 5;
 
-/** One fault, as the seed chose it. */
+/** One fault, as chosen by the seed. */
 export type Fault =
-  | {readonly kind: 'kill' | 'freeze'; readonly who: Who}
+  | {readonly kind: 'kill' | 'freeze'; readonly who: ProcessRef}
   | {
       readonly kind: 'cut from control';
-      readonly who: Who;
+      readonly who: ProcessRef;
       readonly direction: CutDirection;
     }
   | {
@@ -32,15 +32,15 @@
       readonly direction: CutDirection;
     }
   | {readonly kind: 'wipe'}
-  | {readonly kind: 'SIGTERM'; readonly who: Who}
+  | {readonly kind: 'SIGTERM'; readonly who: ProcessRef}
   | {readonly kind: 'operators race'}
-  | {readonly kind: 'restart far behind'; readonly who: Who};
+  | {readonly kind: 'restart far behind'; readonly who: ProcessRef};
 
-/** A process by name, or the control instance that has a role by then. */
-export type Who = string | {readonly role: 'leader' | 'follower'};
+/** A process by name, or a control instance that has this role when the fault begins. */
+export type ProcessRef = string | {readonly role: 'leader' | 'follower'};
 
-/** What a fault acts on. */
-export interface World {
+/** What a fault can act on. */
+export interface FaultContext {
   readonly deployment: Deployment;
   readonly control: ControlClient;
   readonly operators: Operators;
@@ -50,17 +50,17 @@
 
 const DIRECTIONS: readonly CutDirection[] = ['both', 'to server', 'to client'];
 
-/** Every kind alike, whatever the number of processes. */
+/** Picks a fault; all kinds are equally likely, whatever the number of processes. */
 export function pickFault(
   random: SeededRandom,
   names: readonly string[]
 ): Fault {
-  const some = (prefix: string) =>
+  const pickProcess = (prefix: string) =>
     random.pick(names.filter(name => name.startsWith(prefix)));
   const role = {role: random.pick(['leader', 'follower'] as const)};
-  const agent = some('agent-');
-  const entry = some('entry-');
-  const target = some('fake-');
+  const agent = pickProcess('agent-');
+  const entry = pickProcess('entry-');
+  const target = pickProcess('fake-');
   const direction = random.pick(DIRECTIONS);
   const member = random.pick([entry, agent, role]);
   return random.pick<Fault>([
@@ -77,9 +77,10 @@
   ]);
 }
 
-/** For people: `freeze agent-planner-1`. */
+/** Text for the output, such as `freeze agent-planner-1`. */
 export function describeFault(fault: Fault): string {
-  const nameOf = (who: Who) => (typeof who === 'string' ? who : who.role);
+  const nameOf = (who: ProcessRef) =>
+    typeof who === 'string' ? who : who.role;
   switch (fault.kind) {
     case 'cut from control':
       return `cut ${nameOf(fault.who)} from control (${fault.direction})`;
@@ -94,40 +95,43 @@
   }
 }
 
-/** Resolves when the fault is undone. */
+/** Injects a fault, holds it for `holdMs` and undoes it. */
 export async function runFault(
-  world: World,
+  context: FaultContext,
   fault: Fault,
   holdMs: number
 ): Promise<void> {
   switch (fault.kind) {
     case 'kill':
-      return kill(world, await nameOf(world, fault.who), holdMs);
+      return kill(context, await nameOf(context, fault.who), holdMs);
     case 'freeze':
-      return freeze(world, await nameOf(world, fault.who), holdMs);
+      return freeze(context, await nameOf(context, fault.who), holdMs);
     case 'cut from control': {
-      const name = await nameOf(world, fault.who);
-      return cut(world, [name, 'control'], fault.direction, holdMs);
+      const name = await nameOf(context, fault.who);
+      return cut(context, [name, 'control'], fault.direction, holdMs);
     }
     case 'cut entry from agent': {
       const {entry, agent, direction} = fault;
-      return cut(world, [entry, agent], direction, holdMs);
+      return cut(context, [entry, agent], direction, holdMs);
     }
     case 'wipe':
-      return wipe(world);
+      return wipe(context);
     case 'SIGTERM':
-      return endGracefully(world, await nameOf(world, fault.who), holdMs);
+      return endGracefully(context, await nameOf(context, fault.who), holdMs);
     case 'operators race':
-      for (let i = 0; i < RACES; i++) await world.operators.race();
+      for (let i = 0; i < RACE_COUNT; i++) await context.operators.race();
       return;
     case 'restart far behind':
-      return farBehind(world, await nameOf(world, fault.who));
+      return restartFarBehind(context, await nameOf(context, fault.who));
     default:
       return unreachable(fault);
   }
 }
 
-async function nameOf({control, deployment}: World, who: Who): Promise<string> {
+async function nameOf(
+  {control, deployment}: FaultContext,
+  who: ProcessRef
+): Promise<string> {
   if (typeof who === 'string') return who;
   const {instances} = await control.status();
   const leader = instances.find(({role}) => role === 'leader')?.instanceId;
@@ -138,57 +142,61 @@
   return found ?? names[0] ?? '';
 }
 
-async function kill(world: World, name: string, holdMs: number): Promise<void> {
+async function kill(
+  context: FaultContext,
+  name: string,
+  holdMs: number
+): Promise<void> {
   const fromMs = Date.now();
-  await world.deployment.child(name).end('SIGKILL');
+  await context.deployment.child(name).end('SIGKILL');
   await delay(holdMs);
-  await startAgain(world, name);
-  disturbed(world, 'stopped', [name], fromMs);
+  await restartIfStopped(context, name);
+  recordFault(context, 'stopped', [name], fromMs);
 }
 
 async function freeze(
-  world: World,
+  context: FaultContext,
   name: string,
   holdMs: number
 ): Promise<void> {
   const fromMs = Date.now();
-  const {process} = world.deployment.child(name);
+  const {process} = context.deployment.child(name);
   process.kill('SIGSTOP');
   await delay(holdMs);
   process.kill('SIGCONT');
-  disturbed(world, 'frozen', [name], fromMs);
+  recordFault(context, 'frozen', [name], fromMs);
 }
 
-/** Each name is a prefix: `control` is every control instance. */
+/** Cuts the links between two processes; `other` is a prefix: `control` is all instances. */
 async function cut(
-  world: World,
+  context: FaultContext,
   [one, other]: readonly [string, string],
   direction: CutDirection,
   holdMs: number
 ): Promise<void> {
   const fromMs = Date.now();
-  const isMeant = (from: string, to: string) =>
+  const isSelected = (from: string, to: string) =>
     (from === one && to.startsWith(other)) ||
     (to === one && from.startsWith(other)) ||
-    // A control instance is cut off from everybody.
+    // A control instance is cut off from all processes.
     (one.startsWith('control-') && to === one);
-  world.deployment.links.cut(isMeant, direction);
+  context.deployment.links.cut(isSelected, direction);
   await delay(holdMs);
-  world.deployment.links.heal(isMeant);
-  disturbed(world, 'cut', [one, other], fromMs);
+  context.deployment.links.heal(isSelected);
+  recordFault(context, 'cut', [one, other], fromMs);
 }
 
-async function wipe(world: World): Promise<void> {
-  const name = await nameOf(world, {role: 'follower'});
+async function wipe(context: FaultContext): Promise<void> {
+  const name = await nameOf(context, {role: 'follower'});
   const fromMs = Date.now();
-  await world.deployment.child(name).end('SIGKILL');
-  rmSync(world.deployment.dataFolder(name), {recursive: true, force: true});
-  await startAgain(world, name);
-  disturbed(world, 'stopped', [name], fromMs);
+  await context.deployment.child(name).end('SIGKILL');
+  rmSync(context.deployment.dataFolder(name), {recursive: true, force: true});
+  await restartIfStopped(context, name);
+  recordFault(context, 'stopped', [name], fromMs);
 }
 
 async function endGracefully(
-  {deployment, record, traffic, ...world}: World,
+  {deployment, record, traffic, ...context}: FaultContext,
   name: string,
   holdMs: number
 ): Promise<void> {
@@ -198,27 +206,33 @@
   const entry = entryIndex(name);
   const ended = child.end('SIGTERM');
   if (entry !== undefined) {
-    await delay(BALANCER_MS);
+    await delay(READINESS_DETECTION_MS);
     traffic.notReady.add(entry);
   }
   const code = await ended;
   record({kind: 'left', atMs: Date.now(), process: name, code});
   await delay(holdMs);
-  await startAgain({...world, deployment, record, traffic}, name);
+  await restartIfStopped({...context, deployment, record, traffic}, name);
   if (entry !== undefined) traffic.notReady.delete(entry);
 }
 
-async function farBehind(world: World, name: string): Promise<void> {
+async function restartFarBehind(
+  context: FaultContext,
+  name: string
+): Promise<void> {
   const fromMs = Date.now();
-  await world.deployment.child(name).end('SIGKILL');
-  for (let i = 0; i < FAR_BEHIND_REVISIONS; i++) await world.operators.submit();
-  await startAgain(world, name);
-  disturbed(world, 'stopped', [name], fromMs);
+  await context.deployment.child(name).end('SIGKILL');
+  for (let i = 0; i < MISSED_REVISIONS; i++) await context.operators.submit();
+  await restartIfStopped(context, name);
+  recordFault(context, 'stopped', [name], fromMs);
 }
 
-/** Another fault may have started it already, or its port be lent meanwhile. */
-async function startAgain(
-  {deployment, record}: World,
+/**
+ * Restarts a process unless the other fault has already done so. Retries, since
+ * its port may be in use by another connection meanwhile.
+ */
+async function restartIfStopped(
+  {deployment, record}: FaultContext,
   name: string
 ): Promise<void> {
   for (let i = 1; !deployment.child(name).running; i++) {
@@ -226,13 +240,13 @@
       await deployment.restart(name);
       record({kind: 'started', atMs: Date.now(), process: name});
     } catch (err) {
-      if (i === RESTART_TRIES) throw err;
+      if (i === MAX_RESTART_ATTEMPTS) throw err;
     }
   }
 }
 
-function disturbed(
-  {record}: World,
+function recordFault(
+  {record}: FaultContext,
   fault: 'stopped' | 'frozen' | 'cut',
   processes: readonly string[],
   fromMs: number
--- a/bench/faults/history.ts
+++ b/bench/faults/history.ts
@@ -1,27 +1,27 @@
-/** What happened in a run of the whole system; times in machine milliseconds. */
+/** Events of a run of the whole system; times are wall-clock milliseconds. */
 
 import type {RunOutcome} from '../../src/core/refusal';
 
-/** A kind of call; `once` ones carry a key and may run at most once. */
+/** A kind of call; `once` calls carry a key and may run at most once. */
 export type CallKind = 'whole' | 'stream' | 'read' | 'once';
 
-/** What a caller got for one sending. */
+/** What a caller got for one request. */
 export type CallResult =
-  /** The whole answer to its own request; `body` is kept for keyed calls. */
+  /** The complete response to its own request; `body` is kept for keyed calls. */
   | {readonly kind: 'whole'; readonly body?: string}
-  /** An answer that looks whole, and is not the caller's own whole answer. */
+  /** A response that looks complete, but is not the one to the caller's request. */
   | {readonly kind: 'wrong'; readonly detail: string}
   | {
       readonly kind: 'refused';
       readonly reason: string;
       readonly outcome: RunOutcome;
     }
-  /** A stream that says that it was cut, or a connection that broke. */
+  /** A stream that reports that it was cut, or a connection error. */
   | {readonly kind: 'broken'; readonly detail: string}
-  /** Nothing, for longer than any timeout of the system. */
+  /** No response for longer than any timeout of the system. */
   | {readonly kind: 'silent'};
 
-/** One call under way. */
+/** A caller sent a request. */
 export interface Sent {
   readonly kind: 'sent';
   readonly atMs: number;
@@ -31,7 +31,7 @@
   readonly key?: string;
 }
 
-/** A caller's end of a call. */
+/** A caller's request ended. */
 export interface Answered {
   readonly kind: 'answered';
   readonly atMs: number;
@@ -39,7 +39,7 @@
   readonly result: CallResult;
 }
 
-/** A target's own record of having begun a call. */
+/** A target recorded that it began to run a request. */
 export interface Ran {
   readonly kind: 'ran';
   readonly atMs: number;
@@ -49,7 +49,7 @@
   readonly key?: string;
 }
 
-/** A rule file that control said it accepted. */
+/** Control confirmed that it accepted a rule file. */
 export interface Accepted {
   readonly kind: 'accepted';
   readonly sentAtMs: number;
@@ -59,33 +59,33 @@
   readonly zonesOut: readonly string[];
 }
 
-/** A fault of a process, or of its links. */
+/** A fault of a process or of a link. */
 export interface Disturbed {
   readonly kind: 'disturbed';
   readonly fromMs: number;
   readonly toMs: number;
-  /** Processes at the ends of what failed. */
+  /** The process that failed, or the processes at both ends of the link. */
   readonly processes: readonly string[];
   readonly fault: 'stopped' | 'frozen' | 'cut';
 }
 
-/** One thing that happened. */
+/** One event of the history. */
 export type FaultEvent =
   | Sent
   | Answered
   | Ran
   | Accepted
   | Disturbed
-  /** A target got more than it could bear. */
+  /** A target crashed because it was overloaded while cold. */
   | {readonly kind: 'fell over'; readonly atMs: number; readonly target: string}
-  /** A process says that it works by this revision. */
+  /** A process logged that it applied this revision. */
   | {
       readonly kind: 'in force';
       readonly atMs: number;
       readonly process: string;
       readonly revision: number;
     }
-  /** SIGTERM was sent. */
+  /** SIGTERM was sent to a process. */
   | {readonly kind: 'leaving'; readonly atMs: number; readonly process: string}
   | {
       readonly kind: 'left';
@@ -94,18 +94,18 @@
       readonly code: number | null;
     }
   | {readonly kind: 'started'; readonly atMs: number; readonly process: string}
-  /** All faults were over at `sinceMs`. */
+  /** The wait for recovery ended at `atMs`; all faults were over at `sinceMs`. */
   | {
       readonly kind: 'settled';
       readonly sinceMs: number;
       readonly atMs: number;
-      /** What was still wrong when the wait ended. */
+      /** Conditions that still did not hold when the wait ended. */
       readonly missing: readonly string[];
       readonly revision: number;
       readonly text: string;
     };
 
-/** Events in the order in which they were recorded, which is not time. */
+/** Events in the order of recording, which is not the order of time. */
 export type History = readonly FaultEvent[];
 
 /** Events of one kind. */
--- a/bench/faults/losses.ts
+++ b/bench/faults/losses.ts
@@ -1,4 +1,4 @@
-/** Calls that were lost though no fault on their way explains it. */
+/** Finds calls that were lost without a fault on their path that explains it. */
 
 import {unreachable} from '../../src/core/errors';
 import {
@@ -11,12 +11,12 @@
   ofKind,
 } from './history';
 
-/** What a fault leaves behind may end calls for this long after it. */
-const AFTERMATH_MS = 1_000;
-/** From SIGTERM on; a leaving process is gone after its drain time. */
-const SHUTDOWN_MS = 10_000;
+/** Time after a fault during which its aftermath may still end calls. */
+const FAULT_AFTERMATH_MS = 1_000;
+/** Time from SIGTERM during which a loss counts as one of the shutdown; exceeds the drain time. */
+const MAX_SHUTDOWN_MS = 10_000;
 
-/** Whether the loss fell into the graceful shutdown of some process. */
+/** Whether the loss fell into the graceful shutdown of any process. */
 export type LossCause = 'steady' | 'shutdown';
 
 interface Loss {
@@ -26,9 +26,10 @@
 }
 
 /**
- * A caller may lose an answer to a kill, a freeze or a cut of its entry or of
- * its pool; for a keyed call also to one of control, which settles claims. A
- * graceful shutdown, a rule change and a fault elsewhere explain no loss.
+ * Lost calls that no fault explains. A kill, a freeze or a cut explains the loss
+ * if it hits the entry or the pool of the call, or for a keyed call also control,
+ * which decides claims. A graceful shutdown, a rule change or a fault elsewhere
+ * explains no loss.
  */
 export function unexplainedLosses(
   history: History,
@@ -45,7 +46,7 @@
     );
 }
 
-/** A resend speaks of its key's first sending, so it is judged by that time. */
+/** A resend may report the loss of the key's first request, so it takes the time of that one. */
 function losses(history: History): readonly Loss[] {
   const sent = new Map(ofKind(history, 'sent').map(one => [one.callId, one]));
   const firstOfKey = new Map<string, number>();
@@ -61,14 +62,14 @@
   });
 }
 
-/** Undefined when the caller was answered, or knows that nothing ran. */
+/** Why a call was lost; undefined if it got a response or is known not to have run. */
 function lossOf(result: CallResult): string | undefined {
   switch (result.kind) {
     case 'whole':
     case 'wrong':
       return undefined;
     case 'refused':
-      // Another sending under the key is in work: nothing is lost yet.
+      // Another request with the key is still running: nothing is lost yet.
       if (result.outcome === 'not run') return undefined;
       return result.reason === 'in-progress' ? undefined : result.reason;
     case 'broken':
@@ -86,7 +87,7 @@
 ): boolean {
   const pool =
     sent.call === 'once' || sent.call === 'read' ? 'allocation' : 'planner';
-  const isOnTheWay = (process: string) =>
+  const isOnPath = (process: string) =>
     process === sent.entry ||
     process.startsWith(`agent-${pool}-`) ||
     process.startsWith(`fake-${pool}-`) ||
@@ -94,8 +95,8 @@
   return disturbed.some(
     ({fromMs, toMs, processes}) =>
       fromMs <= answered.atMs &&
-      sent.atMs <= toMs + AFTERMATH_MS &&
-      processes.some(isOnTheWay)
+      sent.atMs <= toMs + FAULT_AFTERMATH_MS &&
+      processes.some(isOnPath)
   );
 }
 
@@ -104,7 +105,7 @@
   {sent, answered}: Loss
 ): LossCause {
   const isLeaving = leavings.some(
-    ({atMs}) => atMs <= answered.atMs && sent.atMs <= atMs + SHUTDOWN_MS
+    ({atMs}) => atMs <= answered.atMs && sent.atMs <= atMs + MAX_SHUTDOWN_MS
   );
   return isLeaving ? 'shutdown' : 'steady';
 }
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run faults -- --seed N --runs N`: two overlapping faults a run, chosen
- * by the seed, over one deployment of real processes under steady traffic.
+ * `npm run faults -- --seed N --runs N` runs pairs of overlapping faults, chosen
+ * by the seed, on one deployment of real processes under steady traffic.
  */
 
 import meow from 'meow';
@@ -39,7 +39,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Runs all seeds; returns the number of violations. */
+/** Runs all seeds; returns the number of distinct violations. */
 async function runSeeds(runner: FaultRunner): Promise<number> {
   const seen = new Set<string>();
   const {seed: firstSeed, runs} = cli.flags;
@@ -55,7 +55,7 @@
   return seen.size;
 }
 
-/** What was tried, so that a pass over nothing is seen. */
+/** Counts what was exercised, which reveals a pass without traffic or faults. */
 function summary(history: History): string {
   const afterMs = leavingDelaysMs(history).map(one => one.afterMs);
   const results = ofKind(history, 'answered').map(({result}) => result.kind);
--- a/bench/faults/operators.ts
+++ b/bench/faults/operators.ts
@@ -1,14 +1,14 @@
-/** Operators that submit rule files, and record which were accepted. */
+/** Operators that submit rule files and record which of them were accepted. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import type {ControlClient} from '../../src/cli/controlClient';
 import {rulesText} from '../deployment/rulesText';
 import type {FaultEvent} from './history';
 
-const RETRY_MS = 100;
-const GIVE_UP_MS = 30_000;
+const RETRY_INTERVAL_MS = 100;
+const SUBMIT_TIMEOUT_MS = 30_000;
 
-/** Submissions go in order: a number is settled before the next is taken. */
+/** Submits revisions in order: the outcome of one is known before the next is sent. */
 export class Operators {
   revision = 0;
   zonesOut: readonly string[] = [];
@@ -19,40 +19,42 @@
     private readonly record: (event: FaultEvent) => void
   ) {}
 
-  /** One operator; resends after a lost answer, as the operators' page says. */
+  /** One operator submits a revision, and resends it as documented if the response is lost. */
   submit(zonesOut: readonly string[] = this.zonesOut): Promise<void> {
-    return this.inTurn(async () => {
-      await this.settle(++this.revision, zonesOut, 'Aoife');
+    return this.enqueue(async () => {
+      await this.submitUntilDecided(++this.revision, zonesOut, 'Aoife');
       this.zonesOut = zonesOut;
     });
   }
 
-  /** Two operators with different files under one number. */
+  /** Two operators submit different files with the same revision. */
   race(): Promise<void> {
-    return this.inTurn(async () => {
+    return this.enqueue(async () => {
       const revision = ++this.revision;
       await Promise.all(
-        ['Aoife', 'Bram'].map(who => this.settle(revision, this.zonesOut, who))
+        ['Aoife', 'Bram'].map(who =>
+          this.submitUntilDecided(revision, this.zonesOut, who)
+        )
       );
     });
   }
 
-  private inTurn(work: () => Promise<void>): Promise<void> {
+  private enqueue(work: () => Promise<void>): Promise<void> {
     this.last = this.last.then(work);
     return this.last;
   }
 
-  private async settle(
+  private async submitUntilDecided(
     revision: number,
     zonesOut: readonly string[],
     askedBy: string
   ): Promise<void> {
     const text = rulesText({revision, zonesOut, askedBy});
     const sentAtMs = Date.now();
-    while (Date.now() - sentAtMs < GIVE_UP_MS) {
+    while (Date.now() - sentAtMs < SUBMIT_TIMEOUT_MS) {
       const answer = await this.client.submit(text).catch(() => undefined);
       if (answer === undefined) {
-        await delay(RETRY_MS);
+        await delay(RETRY_INTERVAL_MS);
         continue;
       }
       if (answer.kind !== 'accepted') return;
--- a/bench/faults/traffic.ts
+++ b/bench/faults/traffic.ts
@@ -1,26 +1,31 @@
-/** Steady, bounded calls of all kinds, each recorded with what came of it. */
+/** Steady, bounded traffic of all kinds of calls, recorded with their results. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import {CALL_ID_HEADER} from '../../fakes/runRecord';
 import {CallerAnswer, call} from '../deployment/callers';
 import type {Deployment} from '../deployment/deployment';
 import type {SeededRandom} from '../fuzz/schedule';
-import {judgeOnce, judgeRead, judgeStream, judgeWhole} from './expected';
+import {
+  classifyAssignment,
+  classifyCompletion,
+  classifyRead,
+  classifyStream,
+} from './expected';
 import type {CallKind, CallResult, FaultEvent} from './history';
 
-/** Longer than the pools' timeout of 10 s, with the reading of an answer. */
-const SILENT_AFTER_MS = 20_000;
-const PAUSE_MS = 20;
-const RESENDS = 3;
-const RESEND_PAUSE_MS = 150;
+/** Exceeds the pools' timeout of 10 s plus the time to read a response. */
+const CALL_TIMEOUT_MS = 20_000;
+const CALL_INTERVAL_MS = 20;
+const MAX_RESENDS = 3;
+const RESEND_INTERVAL_MS = 150;
 const WHOLE_TOKENS = 8;
 const STREAM_TOKENS = 80;
-/** Share of keyed calls that a balancer sends to both entries at once. */
-const SENT_TWICE = 0.3;
+/** Share of keyed calls that are sent to both entries at once. */
+const DUPLICATE_SHARE = 0.3;
 
-/** Callers of one run; the platform's balancer keeps them off some entries. */
+/** The callers of one run. Like a platform's balancer, they avoid entries that are not ready. */
 export class Traffic {
-  /** Entries that say that they are not ready. */
+  /** Entries that report not ready. */
   readonly notReady = new Set<number>();
   private running = true;
   private readonly loops: readonly Promise<void>[];
@@ -37,13 +42,13 @@
     this.loops = clients.map(send => this.loop(send));
   }
 
-  /** Ends when every call has been answered or given up. */
+  /** Stops the traffic; resolves when every call has ended or timed out. */
   async stop(): Promise<void> {
     this.running = false;
     await Promise.all(this.loops);
   }
 
-  /** One call of each kind at an entry; whether all were served. */
+  /** Sends one call of each kind to an entry; resolves with whether all were served. */
   async probe(entry: number): Promise<boolean> {
     const sends = [this.whole, this.stream, this.read, this.once];
     const results = await Promise.all(sends.map(send => send(entry)));
@@ -56,7 +61,7 @@
     while (this.running) {
       const entry = this.pickEntry();
       if (entry !== undefined) await send(entry);
-      await delay(PAUSE_MS);
+      await delay(CALL_INTERVAL_MS);
     }
   }
 
@@ -80,21 +85,21 @@
     const tokens = stream ? STREAM_TOKENS : WHOLE_TOKENS;
     const messages = [{role: 'user', content: prompt}];
     const body = {model: 'planner', stream, max_tokens: tokens, messages};
-    const judge = stream ? judgeStream : judgeWhole;
+    const classify = stream ? classifyStream : classifyCompletion;
     return this.send(entry, kind, {
       path: '/v1/chat/completions',
       body: JSON.stringify(body),
-      judge: answer => judge(answer, prompt, tokens),
+      classify: answer => classify(answer, prompt, tokens),
     });
   }
 
   private readonly read = (entry: number): Promise<CallResult> => {
     const path = `/echo/${this.nextName()}`;
-    const judge = (answer: CallerAnswer) => judgeRead(answer, path);
-    return this.send(entry, 'read', {path, judge});
+    const classify = (answer: CallerAnswer) => classifyRead(answer, path);
+    return this.send(entry, 'read', {path, classify});
   };
 
-  /** Sent again, by turns through the other entry, until it is settled. */
+  /** Sends a keyed call and resends it through alternating entries until it succeeds. */
   private readonly once = async (entry: number): Promise<CallResult> => {
     const key = this.nextName();
     const sendOnce = (at: number) =>
@@ -102,26 +107,27 @@
         path: '/assign',
         key,
         body: JSON.stringify({box: key}),
-        judge: answer => judgeOnce(answer, key, key),
+        classify: answer => classifyAssignment(answer, key, key),
       });
     const other = 1 - entry;
-    const isTwin = this.random.chance(SENT_TWICE) && !this.notReady.has(other);
-    const twin = isTwin ? sendOnce(other) : undefined;
+    const isDuplicated =
+      this.random.chance(DUPLICATE_SHARE) && !this.notReady.has(other);
+    const duplicate = isDuplicated ? sendOnce(other) : undefined;
     let result = await sendOnce(entry);
-    for (let i = 0; i < RESENDS && this.running; i++) {
+    for (let i = 0; i < MAX_RESENDS && this.running; i++) {
       if (result.kind === 'whole') break;
-      await delay(RESEND_PAUSE_MS);
+      await delay(RESEND_INTERVAL_MS);
       const at = i % 2 === 0 ? other : entry;
       if (!this.notReady.has(at)) result = await sendOnce(at);
     }
-    await twin;
+    await duplicate;
     return result;
   };
 
   private async send(
     entry: number,
     kind: CallKind,
-    call: Sending
+    call: PlannedCall
   ): Promise<CallResult> {
     const callId = `${kind}-${this.nextName()}`;
     this.record({
@@ -132,26 +138,26 @@
       entry: `entry-${entry}`,
       key: call.key,
     });
-    const result = await this.resultOf(entry, callId, call);
+    const result = await this.resultOfCall(entry, callId, call);
     this.record({kind: 'answered', atMs: Date.now(), callId, result});
     return result;
   }
 
-  private async resultOf(
+  private async resultOfCall(
     entry: number,
     callId: string,
-    {path, body, key, judge}: Sending
+    {path, body, key, classify}: PlannedCall
   ): Promise<CallResult> {
-    const signal = AbortSignal.timeout(SILENT_AFTER_MS);
+    const signal = AbortSignal.timeout(CALL_TIMEOUT_MS);
     const headers: Record<string, string> = {[CALL_ID_HEADER]: callId};
     if (key !== undefined) headers['idempotency-key'] = key;
     const method = body === undefined ? 'GET' : 'POST';
     const port = this.deployment.entryPort(entry);
     try {
-      return judge(await call(port, path, {method, headers, body, signal}));
+      return classify(await call(port, path, {method, headers, body, signal}));
     } catch (err) {
       if (signal.aborted) return {kind: 'silent'};
-      return {kind: 'broken', detail: describe(err)};
+      return {kind: 'broken', detail: describeError(err)};
     }
   }
 
@@ -160,15 +166,15 @@
   }
 }
 
-interface Sending {
+interface PlannedCall {
   readonly path: string;
   readonly body?: string;
   readonly key?: string;
-  readonly judge: (answer: CallerAnswer) => CallResult;
+  readonly classify: (answer: CallerAnswer) => CallResult;
 }
 
-/** `fetch` hides what failed in the cause. */
-function describe(err: unknown): string {
+/** Error message with its cause, where `fetch` puts the actual failure. */
+function describeError(err: unknown): string {
   if (!(err instanceof Error)) return String(err);
   return err.cause === undefined
     ? err.message
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run soak -- --seed N --seconds N`: nodes as real processes under kills,
- * stops and restarts in series, with callers, targets and an operator around
- * them that check the promises from outside. The last line names the seed, the
- * counts and the verdict.
+ * `npm run soak -- --seed N --seconds N` runs nodes as real processes under a
+ * series of kills, freezes and restarts. Callers, targets and an operator check
+ * the promises from outside. The summary line has the seed, the counts and the
+ * verdict.
  */
 
 import {mkdtempSync, rmSync} from 'node:fs';
@@ -21,13 +21,13 @@
 const SERVICE = 'soak';
 const TARGETS = 4;
 const OK = 200;
-/** Between two calls, two changes, two reads, milliseconds. */
-const CALL_MS = 15;
-const CHANGE_MS = 220;
-const READ_MS = 130;
-/** After the last fault everything is in order again. */
+/** Intervals of calls, of document changes and of document reads. */
+const CALL_INTERVAL_MS = 15;
+const CHANGE_INTERVAL_MS = 220;
+const READ_INTERVAL_MS = 130;
+/** Time allowed to recover after the last fault, and to start up. */
 const RECOVERY_MS = 15_000;
-const LOOK_MS = 200;
+const POLL_INTERVAL_MS = 200;
 
 const cli = meow(
   `
@@ -49,24 +49,24 @@
   }
 );
 
-function randomOf(seed: number): () => number {
+function randomFromSeed(seed: number): () => number {
   const generator = xorshift128plus(seed);
   return () => (generator.next() >>> 0) / 2 ** 32;
 }
 
-/** Repeats something until it succeeds, or the time for it is over. */
-async function until(limitMs: number, step: () => Promise<boolean>) {
+/** Repeats `step` until it succeeds or the time is over; resolves with whether it succeeded. */
+async function retryUntil(limitMs: number, step: () => Promise<boolean>) {
   const endMs = performance.now() + limitMs;
   while (performance.now() < endMs) {
     if (await step()) return true;
-    await delay(LOOK_MS);
+    await delay(POLL_INTERVAL_MS);
   }
   return false;
 }
 
 async function main(): Promise<number> {
   const {seed, seconds, keep} = cli.flags;
-  const random = randomOf(seed);
+  const random = randomFromSeed(seed);
   const folder = mkdtempSync(path.join(tmpdir(), 'marlpulley-soak-'));
   const program = path.join(__dirname, 'marlpulley-app.cjs');
   const nodes = new SoakNodes(program, folder, seed);
@@ -76,34 +76,46 @@
   const pick = () => nodes.ips[Math.floor(random() * nodes.ips.length)] ?? '';
   nodes.startAll();
   await targets.start(TARGETS, nodes.ips, nodes.controlPort);
-  const begun = await until(RECOVERY_MS, () => operator.change(pick()));
+  const hasStarted = await retryUntil(RECOVERY_MS, () =>
+    operator.change(pick())
+  );
   const faults = new SoakFaults(nodes, random);
   const timers = [
-    setInterval(() => void callers.call(pick(), random() < 0.5), CALL_MS),
-    setInterval(() => void operator.change(pick()), CHANGE_MS),
-    setInterval(() => void operator.read(pick()), READ_MS),
+    setInterval(
+      () => void callers.call(pick(), random() < 0.5),
+      CALL_INTERVAL_MS
+    ),
+    setInterval(() => void operator.change(pick()), CHANGE_INTERVAL_MS),
+    setInterval(() => void operator.read(pick()), READ_INTERVAL_MS),
   ];
   await faults.run(seconds * 1_000);
   for (const timer of timers) clearInterval(timer);
-  let healed = true;
+  let hasRecovered = true;
   for (const ip of nodes.ips) {
-    healed &&= await until(RECOVERY_MS, () => operator.read(ip));
-    healed &&= await until(
+    hasRecovered &&= await retryUntil(RECOVERY_MS, () => operator.read(ip));
+    hasRecovered &&= await retryUntil(
       RECOVERY_MS,
       async () => (await callers.call(ip, false)) === OK
     );
   }
   await nodes.stop();
   targets.stop();
-  const found = [...callers.violations(targets.runs), ...operator.violations];
-  for (const {promise, detail} of found)
+  const violations = [
+    ...callers.violations(targets.runs),
+    ...operator.violations,
+  ];
+  for (const {promise, detail} of violations)
     process.stdout.write(`VIOLATED ${promise}: ${detail}\n`);
-  const isGood = begun && healed && found.length === 0;
-  const verdict = isGood ? 'held' : begun && healed ? 'BROKEN' : 'NOT WHOLE';
+  const isGood = hasStarted && hasRecovered && violations.length === 0;
+  const verdict = isGood
+    ? 'held'
+    : hasStarted && hasRecovered
+      ? 'BROKEN'
+      : 'NOT WHOLE';
   const counts = JSON.stringify(callers.counts);
   process.stdout.write(
     `seed ${seed}: ${faults.count} faults, answers ${counts}, ` +
-      `${operator.acknowledged} the last document, ${found.length} violations: ${verdict}\n`
+      `${operator.acknowledged} the last document, ${violations.length} violations: ${verdict}\n`
   );
   if (!keep && isGood) rmSync(folder, {recursive: true, force: true});
   else process.stdout.write(`logs in ${folder}\n`);
--- a/bench/soak/send.ts
+++ b/bench/soak/send.ts
@@ -1,8 +1,8 @@
-/** One call of a caller, an operator or a target, on a connection of its own. */
+/** Sends one request of a caller, an operator or a target on its own connection. */
 
 import http from 'node:http';
 
-/** What to send. */
+/** The request to send. */
 export interface SoakCall {
   readonly ip: string;
   readonly port: number;
@@ -12,7 +12,7 @@
   readonly body?: string;
 }
 
-/** What came back; undefined without a whole answer. */
+/** A complete response. */
 export interface SoakAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
@@ -21,7 +21,7 @@
 
 const TIMEOUT_MS = 3_000;
 
-/** Resolves with undefined when no whole answer came in time. */
+/** Resolves with the response, or undefined if no complete one arrived in time. */
 export function send(call: SoakCall): Promise<SoakAnswer | undefined> {
   return new Promise(resolve => {
     const {ip: host, port, method, path, headers, body = ''} = call;
--- a/bench/soak/soakCallers.ts
+++ b/bench/soak/soakCallers.ts
@@ -1,4 +1,4 @@
-/** Callers of the soak, and what they hold against the promises. */
+/** Callers of the soak, which check the responses against the promises. */
 
 import {
   ECHO_HEADER,
@@ -8,20 +8,20 @@
 import type {SoakAnswer} from './send';
 import {send} from './send';
 
-/** Answers that promise that nothing ran. */
+/** Status codes that promise that the request did not run. */
 const NOT_RUN = new Set([408, 421, 429, 503]);
 const OK = 200;
-const WAIT_MS = 1_500;
-/** Beyond the route's time limit: an answer is due by then. */
-const LATE_MS = 900;
+const ROUTE_TIMEOUT_MS = 1_500;
+/** Added to the route's timeout; a response is due within both. */
+const RESPONSE_SLACK_MS = 900;
 
-/** One promise that was broken. */
+/** One violation of a promise. */
 export interface Violation {
   readonly promise: 'atMostOnce' | 'notRun' | 'wholeAnswer' | 'document';
   readonly detail: string;
 }
 
-/** Sends calls of both kinds and remembers what their answers promise. */
+/** Sends idempotent and non-idempotent calls and records what their responses promise. */
 export class SoakCallers {
   readonly counts: Record<string, number> = {};
   private readonly notRun = new Set<string>();
@@ -42,13 +42,17 @@
       port: this.port,
       method: isOnce ? 'POST' : 'GET',
       path: isOnce ? '/o/x' : '/i/x',
-      headers: callerHeaders(id, this.host, WAIT_MS + LATE_MS),
+      headers: callerHeaders(
+        id,
+        this.host,
+        ROUTE_TIMEOUT_MS + RESPONSE_SLACK_MS
+      ),
     });
-    this.judge(id, answer);
+    this.checkResponse(id, answer);
     return answer?.status ?? 0;
   }
 
-  /** Judges what only the end shows: late runs count, too. */
+  /** All violations; to be called at the end, since late runs count too. */
   violations(runs: ReadonlyMap<string, number>): readonly Violation[] {
     const found = [...this.wrong];
     for (const id of this.once)
@@ -63,7 +67,7 @@
     return found;
   }
 
-  private judge(id: string, answer: SoakAnswer | undefined): void {
+  private checkResponse(id: string, answer: SoakAnswer | undefined): void {
     const status = answer?.status ?? 0;
     this.counts[status] = (this.counts[status] ?? 0) + 1;
     if (answer === undefined) return;
--- a/bench/soak/soakFaults.ts
+++ b/bench/soak/soakFaults.ts
@@ -1,11 +1,11 @@
-/** Faults of the soak: signals to nodes, in series, that overlap. */
+/** Faults of the soak: a series of signals to nodes, whose effects may overlap. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import type {SoakNodes} from './soakNodes';
 
 type Fault = 'kill' | 'term' | 'freeze' | 'reload' | 'killAll';
 
-/** How often each comes, in parts of ten. */
+/** Each fault occurs as often as its share of these ten entries. */
 const FAULTS: readonly Fault[] = [
   'kill',
   'kill',
@@ -18,10 +18,10 @@
   'reload',
   'killAll',
 ];
-const PAUSE_MS = 1_200;
-const LONGEST_FREEZE_MS = 2_500;
+const MAX_PAUSE_MS = 1_200;
+const MAX_FREEZE_MS = 2_500;
 
-/** Causes faults by the seed. */
+/** Injects random faults. */
 export class SoakFaults {
   count = 0;
 
@@ -30,20 +30,20 @@
     private readonly random: () => number
   ) {}
 
-  /** Goes on for so long; frozen processes are awake again at the end. */
+  /** Injects faults for `ms`; resolves when all frozen processes have been thawed. */
   async run(ms: number): Promise<void> {
     const endMs = performance.now() + ms;
     const thaws: Promise<void>[] = [];
     while (performance.now() < endMs) {
-      await delay(this.random() * PAUSE_MS);
+      await delay(this.random() * MAX_PAUSE_MS);
       const fault = FAULTS[Math.floor(this.random() * FAULTS.length)] ?? 'kill';
-      thaws.push(this.cause(fault));
+      thaws.push(this.inject(fault));
       this.count++;
     }
     await Promise.all(thaws);
   }
 
-  private async cause(fault: Fault): Promise<void> {
+  private async inject(fault: Fault): Promise<void> {
     const {nodes, random} = this;
     const ip = nodes.ips[Math.floor(random() * nodes.ips.length)] ?? '';
     switch (fault) {
@@ -60,7 +60,7 @@
         for (const one of nodes.ips) nodes.signal(one, 'SIGKILL');
         return;
       case 'freeze': {
-        const awakeInMs = random() * LONGEST_FREEZE_MS;
+        const awakeInMs = random() * MAX_FREEZE_MS;
         nodes.signal(ip, 'SIGSTOP');
         await delay(awakeInMs);
         nodes.signal(ip, 'SIGCONT');
--- a/bench/soak/soakNodes.ts
+++ b/bench/soak/soakNodes.ts
@@ -1,25 +1,25 @@
-/** Nodes of the soak: real processes, each at a loopback address of its own. */
+/** Nodes of the soak: real processes, each at its own loopback address. */
 
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import {createWriteStream, mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 
-/** Last parts of the addresses of nodes with a disk, and of one without. */
+/** Last octets of the addresses of the nodes with and without a disk. */
 const WITH_DISK = [41, 42, 43] as const;
 const WITHOUT_DISK = [44] as const;
-/** Soaks of other seeds may run beside, each in a net of its own. */
-const NETS = 200;
+/** Number of subnets; soaks of different seeds can run at the same time in their own. */
+const SUBNETS = 200;
 const PORTS = {
   internal: 17_340,
   callers: 17_341,
   ready: 17_342,
   control: 17_343,
 };
-/** A process that was killed is started again after this at most. */
-const BACK_MS = 700;
+/** Maximum delay until an exited process is restarted. */
+const MAX_RESTART_DELAY_MS = 700;
 
-/** The program and the signals that it gets. */
+/** Starts, signals and restarts the nodes. */
 export class SoakNodes {
   readonly ips: readonly string[];
   private readonly diskIps: readonly string[];
@@ -31,10 +31,10 @@
     private readonly folder: string,
     seed: number
   ) {
-    const net = `127.0.${1 + (seed % NETS)}`;
-    this.diskIps = WITH_DISK.map(last => `${net}.${last}`);
-    const others = WITHOUT_DISK.map(last => `${net}.${last}`);
-    this.ips = [...this.diskIps, ...others];
+    const subnet = `127.0.${1 + (seed % SUBNETS)}`;
+    this.diskIps = WITH_DISK.map(last => `${subnet}.${last}`);
+    const disklessIps = WITHOUT_DISK.map(last => `${subnet}.${last}`);
+    this.ips = [...this.diskIps, ...disklessIps];
   }
 
   get callersPort(): number {
@@ -79,7 +79,10 @@
     child.once('exit', () => {
       this.running.delete(ip);
       if (!this.isEnding)
-        setTimeout(() => this.start(ip, false), Math.random() * BACK_MS);
+        setTimeout(
+          () => this.start(ip, false),
+          Math.random() * MAX_RESTART_DELAY_MS
+        );
     });
   }
 
--- a/bench/soak/soakOperator.ts
+++ b/bench/soak/soakOperator.ts
@@ -1,4 +1,4 @@
-/** The operator of the soak: nothing acknowledged may be lost, or shown older. */
+/** The operator of the soak, which checks that no acknowledged document is lost or read stale. */
 
 import {DOCUMENT_PATH, documentText} from '../../platform/counterpart';
 import {send} from './send';
@@ -6,7 +6,7 @@
 
 const OK = 200;
 
-/** Sends documents with rising versions, and reads them at any node. */
+/** Sends documents with increasing versions and reads them at any node. */
 export class SoakOperator {
   readonly violations: Violation[] = [];
   acknowledged = 0;
@@ -18,7 +18,7 @@
     private readonly port: number
   ) {}
 
-  /** Sends the next version; without a clear answer it may be in force. */
+  /** Sends the next version; without a response it may or may not be applied. */
   async change(ip: string): Promise<boolean> {
     const version = ++this.version;
     const body = documentText(version, this.host, this.service);
@@ -30,22 +30,22 @@
       body,
     };
     const answer = await send(call);
-    const isTaken = answer?.status === OK;
-    if (isTaken) this.acknowledged = Math.max(this.acknowledged, version);
-    return isTaken;
+    const isAccepted = answer?.status === OK;
+    if (isAccepted) this.acknowledged = Math.max(this.acknowledged, version);
+    return isAccepted;
   }
 
-  /** Reads at a node; a refusal is no fault. */
+  /** Reads the document at a node; a refusal is not a violation. */
   async read(ip: string): Promise<boolean> {
-    const least = this.acknowledged;
+    const minVersion = this.acknowledged;
     const call = {ip, port: this.port, method: 'GET', path: DOCUMENT_PATH};
     const answer = await send(call);
     if (answer?.status !== OK) return false;
     const {version} = JSON.parse(answer.body) as {version: number};
-    const detail = `${ip} showed ${version} after ${least} was acknowledged`;
-    const isSent =
+    const detail = `${ip} showed ${version} after ${minVersion} was acknowledged`;
+    const isSentDocument =
       answer.body === documentText(version, this.host, this.service);
-    if (version < least || !isSent)
+    if (version < minVersion || !isSentDocument)
       this.violations.push({promise: 'document', detail});
     return true;
   }
--- a/bench/soak/soakTargets.ts
+++ b/bench/soak/soakTargets.ts
@@ -1,4 +1,4 @@
-/** Targets of the soak: they run, fail, fall silent, and remember what ran. */
+/** Targets of the soak, which run, refuse or reset requests and record what ran. */
 
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -11,12 +11,12 @@
 } from '../../platform/counterpart';
 import {send} from './send';
 
-/** Part of the requests that each kind of trouble hits. */
-const REFUSED = 0.05;
-const RESET_BEFORE = 0.03;
-const RESET_AFTER = 0.03;
+/** Shares of the requests that are refused, reset before they run, and reset after. */
+const REFUSED_SHARE = 0.05;
+const RESET_BEFORE_RUN_SHARE = 0.03;
+const RESET_AFTER_RUN_SHARE = 0.03;
 const HEARTBEAT_MS = 300;
-const WORK_MS = 30;
+const MAX_WORK_MS = 30;
 
 /** All targets of one service. */
 export class SoakTargets {
@@ -34,7 +34,7 @@
 
   async start(count: number, nodes: readonly string[], port: number) {
     for (let i = 0; i < count; i++) {
-      const server = http.createServer((req, res) => this.answer(req, res));
+      const server = http.createServer((req, res) => this.respond(req, res));
       await new Promise<void>(done => server.listen(0, '127.0.0.1', done));
       this.servers.push(server);
     }
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Each target tells one node of itself, another one each time. */
+  /** Each target announces itself to one node, a different one each time. */
   private announce(nodes: readonly string[], port: number): void {
     this.sequence++;
     this.servers.forEach((server, i) => {
@@ -57,7 +57,7 @@
       const {sequence, bornMs, service} = this;
       const body = announcement(service, `127.0.0.1:${own}`, bornMs, sequence);
       const ip = nodes[(sequence + i) % nodes.length] ?? '';
-      // A node that is down is passed over; the next heartbeat goes elsewhere.
+      // A failure is ignored, since the next announcement goes to another node.
       void send({
         ip,
         port,
@@ -68,25 +68,25 @@
     });
   }
 
-  private answer(req: http.IncomingMessage, res: http.ServerResponse): void {
+  private respond(req: http.IncomingMessage, res: http.ServerResponse): void {
     const id = String(req.headers[ECHO_HEADER] ?? '');
-    const luck = this.random();
-    if (luck < REFUSED) {
+    const sample = this.random();
+    if (sample < REFUSED_SHARE) {
       res.writeHead(503, {[NOT_RUN_HEADER]: 'full', [ECHO_HEADER]: id}).end();
       return;
     }
-    if (luck < REFUSED + RESET_BEFORE) {
+    if (sample < REFUSED_SHARE + RESET_BEFORE_RUN_SHARE) {
       req.socket.destroy();
       return;
     }
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
-    const isLost = luck > 1 - RESET_AFTER;
+    const isLost = sample > 1 - RESET_AFTER_RUN_SHARE;
     setTimeout(() => {
       if (isLost) req.socket.destroy();
       else
         res
           .writeHead(200, {[ECHO_HEADER]: id, [SEAL_HEADER]: `seal-${id}`})
           .end(`served ${id}`);
-    }, this.random() * WORK_MS);
+    }, this.random() * MAX_WORK_MS);
   }
 }
