--- a/bench/faults/faults.ts
+++ b/bench/faults/faults.ts
@@ -79,11 +79,10 @@
 
 /** Text for the output, such as `freeze agent-planner-1`. */
 export function describeFault(fault: Fault): string {
-  const nameOf = (who: ProcessRef) =>
-    typeof who === 'string' ? who : who.role;
+  const label = (who: ProcessRef) => (typeof who === 'string' ? who : who.role);
   switch (fault.kind) {
     case 'cut from control':
-      return `cut ${nameOf(fault.who)} from control (${fault.direction})`;
+      return `cut ${label(fault.who)} from control (${fault.direction})`;
     case 'cut entry from agent':
       return `cut ${fault.entry} from ${fault.agent} (${fault.direction})`;
     case 'wipe':
@@ -91,7 +90,7 @@
     case 'operators race':
       return fault.kind;
     default:
-      return `${fault.kind} ${nameOf(fault.who)}`;
+      return `${fault.kind} ${label(fault.who)}`;
   }
 }
 
