--- a/bench/capacity/bareProxy.ts
+++ b/bench/capacity/bareProxy.ts
@@ -1,9 +1,9 @@
-/** The least that a proxy on Node can do: Node's own `http` on both sides. */
+/** A minimal pass-through proxy on Node's `http`, as a baseline for overhead. */
 
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** Starts to pass everything through; resolves with the port. */
+/** Starts the proxy in front of a target; resolves with the port. */
 export function startBareProxy(targetPort: number): Promise<number> {
   const agent = new http.Agent({keepAlive: true});
   const server = http.createServer((req, res) => {
--- a/bench/capacity/counterSink.ts
+++ b/bench/capacity/counterSink.ts
@@ -1,4 +1,4 @@
-/** Receives the counters that processes send in the StatsD protocol. */
+/** Receives counters that processes send in the StatsD protocol. */
 
 import dgram from 'node:dgram';
 import {once} from 'node:events';
@@ -17,7 +17,7 @@
     socket.on('message', text => this.receive(text.toString()));
   }
 
-  /** Listens on a port of the kernel's choice. */
+  /** Listens on a port that the kernel chooses. */
   static async start(counter: string): Promise<CounterSink> {
     const socket = dgram.createSocket('udp4');
     socket.bind(0, '127.0.0.1');
--- a/bench/capacity/leastSquares.ts
+++ b/bench/capacity/leastSquares.ts
@@ -1,6 +1,6 @@
-/** A straight line through measured points. */
+/** Fits a straight line to measured points. */
 
-/** One point. */
+/** One measured point. */
 export interface Point {
   readonly x: number;
   readonly y: number;
@@ -14,7 +14,7 @@
   readonly r2: number;
 }
 
-/** Least squares over two points or more with different `x`. */
+/** Least-squares fit; needs at least two points with different `x`. */
 export function fitLine(points: readonly Point[]): Line {
   const meanX = mean(points.map(({x}) => x));
   const meanY = mean(points.map(({y}) => y));
@@ -27,7 +27,7 @@
   return {slope, intercept: meanY - slope * meanX, r2};
 }
 
-/** Arithmetic mean; NaN of nothing. */
+/** Arithmetic mean; NaN for an empty list. */
 export function mean(values: readonly number[]): number {
   return sum(values) / values.length;
 }
--- a/bench/capacity/loadGenerator.ts
+++ b/bench/capacity/loadGenerator.ts
@@ -4,29 +4,29 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {build} from 'hdr-histogram-js';
 
-/** What to send. */
+/** The calls to send. */
 export interface LoadPlan {
   readonly port: number;
   readonly method: string;
   readonly path: string;
-  /** Sent with each call; empty for none. */
+  /** Body of each call; empty for none. */
   readonly body: string;
   readonly customer: string;
   readonly connections: number;
-  /** Calls before the clock starts, to warm up both sides. */
+  /** Calls before the measurement starts, to warm up both sides. */
   readonly warmupCalls: number;
   readonly seconds: number;
   readonly maxCalls: number;
-  /** Rest of each connection after a call, milliseconds. */
+  /** Pause of each connection after a call. */
   readonly pauseMs?: number;
-  /** Calls begin at this rate, all connections together; as fast as they can. */
+  /** Target rate over all connections; without it, calls follow each other at once. */
   readonly callsPerS?: number;
 }
 
-/** What came of it; latencies in milliseconds. */
+/** The measured throughput and latencies. */
 export interface LoadResult {
   readonly calls: number;
-  /** Answers other than 2xx, and calls that failed. */
+  /** Responses other than 2xx, and calls without a complete response. */
   readonly failed: number;
   readonly callsPerS: number;
   readonly bytes: number;
@@ -36,14 +36,18 @@
   readonly firstByteP99Ms: number;
 }
 
-/** Histograms hold microseconds. */
+/** The histograms record microseconds. */
 const US_PER_MS = 1_000;
-const HIGHEST_US = 60_000_000;
+const MAX_LATENCY_US = 60_000_000;
 
 class Load {
   private readonly agent: http.Agent;
-  private readonly whole = build({highestTrackableValue: HIGHEST_US});
-  private readonly first = build({highestTrackableValue: HIGHEST_US});
+  private readonly responseTimes = build({
+    highestTrackableValue: MAX_LATENCY_US,
+  });
+  private readonly firstByteTimes = build({
+    highestTrackableValue: MAX_LATENCY_US,
+  });
   private calls = 0;
   private failed = 0;
   private bytes = 0;
@@ -58,7 +62,7 @@
   async run(): Promise<LoadResult> {
     const {warmupCalls, seconds, maxCalls} = this.plan;
     await this.drive(Infinity, warmupCalls, 0);
-    this.forget();
+    this.reset();
     const startedAtMs = performance.now();
     await this.drive(
       startedAtMs + seconds * 1_000,
@@ -70,13 +74,13 @@
     return this.result(elapsedS);
   }
 
-  /** Time between two calls of one connection; 0 for one after the other. */
+  /** Time between the starts of two calls of a connection; 0 without a target rate. */
   private intervalMs(): number {
     const {callsPerS, connections} = this.plan;
     return callsPerS === undefined ? 0 : (connections * 1_000) / callsPerS;
   }
 
-  /** Every connection sends one call after the other. */
+  /** Sends calls on all connections, one at a time on each, until either limit is reached. */
   private async drive(
     endAtMs: number,
     maxCalls: number,
@@ -84,11 +88,11 @@
   ): Promise<void> {
     const {connections, pauseMs = 0} = this.plan;
     const startedAtMs = performance.now();
-    let begun = 0;
+    let started = 0;
     const loop = async (index: number) => {
-      // Connections that all began at once would queue behind each other.
+      // Starts are staggered: calls that begin at the same time would queue.
       let dueAtMs = startedAtMs + (intervalMs * index) / connections;
-      while (performance.now() < endAtMs && begun++ < maxCalls) {
+      while (performance.now() < endAtMs && started++ < maxCalls) {
         const earlyMs = dueAtMs - performance.now();
         if (earlyMs > 0) await delay(earlyMs);
         dueAtMs += intervalMs;
@@ -99,9 +103,9 @@
     await Promise.all(Array.from({length: connections}, (_, i) => loop(i)));
   }
 
-  private forget(): void {
-    this.whole.reset();
-    this.first.reset();
+  private reset(): void {
+    this.responseTimes.reset();
+    this.firstByteTimes.reset();
     this.calls = 0;
     this.failed = 0;
     this.bytes = 0;
@@ -125,13 +129,13 @@
       const done = (ok: boolean) => {
         this.calls++;
         if (!ok) this.failed++;
-        this.whole.recordValue(microsecondsSince(startedAtMs));
+        this.responseTimes.recordValue(microsecondsSince(startedAtMs));
         resolve();
       };
       const req = http.request(options, res => {
         const ok = Math.floor((res.statusCode ?? 0) / 100) === 2;
         res.once('data', () =>
-          this.first.recordValue(microsecondsSince(startedAtMs))
+          this.firstByteTimes.recordValue(microsecondsSince(startedAtMs))
         );
         res.on('data', (chunk: Buffer) => (this.bytes += chunk.length));
         res.on('end', () => done(ok && res.complete));
@@ -143,16 +147,16 @@
   }
 
   private result(elapsedS: number): LoadResult {
-    const {whole, first, calls, failed, bytes} = this;
+    const {responseTimes, firstByteTimes, calls, failed, bytes} = this;
     return {
       calls,
       failed,
       callsPerS: (calls - failed) / elapsedS,
       bytes,
-      p50Ms: whole.getValueAtPercentile(50) / US_PER_MS,
-      p99Ms: whole.getValueAtPercentile(99) / US_PER_MS,
-      firstByteP50Ms: first.getValueAtPercentile(50) / US_PER_MS,
-      firstByteP99Ms: first.getValueAtPercentile(99) / US_PER_MS,
+      p50Ms: responseTimes.getValueAtPercentile(50) / US_PER_MS,
+      p99Ms: responseTimes.getValueAtPercentile(99) / US_PER_MS,
+      firstByteP50Ms: firstByteTimes.getValueAtPercentile(50) / US_PER_MS,
+      firstByteP99Ms: firstByteTimes.getValueAtPercentile(99) / US_PER_MS,
     };
   }
 }
@@ -161,7 +165,7 @@
   return Math.round((performance.now() - startedAtMs) * US_PER_MS);
 }
 
-/** Resolves when the time is over or all calls are made. */
+/** Sends the calls; resolves when the time is over or all calls are done. */
 export function generateLoad(plan: LoadPlan): Promise<LoadResult> {
   return new Load(plan).run();
 }
--- a/bench/capacity/main.ts
+++ b/bench/capacity/main.ts
@@ -1,4 +1,4 @@
-/** `node dist/capacity.cjs load|proxy|page`: helpers of the measures of cost. */
+/** `node dist/capacity.cjs load|proxy|page` runs one helper of the cost measures. */
 
 import {startBareProxy} from './bareProxy';
 import {LoadPlan, generateLoad} from './loadGenerator';
--- a/bench/capacity/measured.ts
+++ b/bench/capacity/measured.ts
@@ -1,4 +1,4 @@
-/** The measured file that docs/CAPACITY.md is worked out from. */
+/** Reads the measured figures that docs/CAPACITY.md is computed from. */
 
 import {readFileSync} from 'node:fs';
 import path from 'node:path';
@@ -18,15 +18,15 @@
   bounds: RESULT,
 });
 
-/** What `npm run bench -- --json` printed. */
+/** The output of `npm run bench -- --json`. */
 export type Measured = z.infer<typeof MEASURED>;
 
-/** Roles of the measure `controlCost`. */
+/** Process roles of the measure `controlCost`. */
 export type Role = 'entry' | 'agent' | 'leader' | 'follower';
-/** Quantities of the measure `controlCost`. */
+/** Measured quantities of the measure `controlCost`. */
 export type Quantity = 'processorPercent' | 'rssMb' | 'bytesPerS';
 
-/** Where the output of the run is kept, below the root. */
+/** File with the output of the run, relative to the repository root. */
 export const MEASURED_FILE = path.join('docs', 'measured', 'cost.json');
 
 /** Reads and checks the file. */
@@ -35,17 +35,17 @@
   return MEASURED.parse(JSON.parse(text));
 }
 
-/** A figure that has to be there. */
+/** A figure by name; throws if it is missing. */
 export function figure({ours}: Measured[keyof Measured], name: string): number {
   const value = ours[name];
   if (value === undefined) throw new Error(`no measured figure ${name}`);
   return value;
 }
 
-/** Without calls, or under the small load of the measure. */
+/** Whether a figure was measured without calls or under a small load. */
 export type State = 'idle' | 'load';
 
-/** The measured line over the number of agents. */
+/** The line fitted to a quantity over the number of agents. */
 export function lineOf(
   {controlCost}: Measured,
   role: Role,
@@ -60,7 +60,7 @@
   };
 }
 
-/** The numbers of agents that were measured, ascending. */
+/** The measured numbers of agents, ascending. */
 export function sizesOf({controlCost}: Measured): readonly number[] {
   return Object.keys(controlCost.ours)
     .map(name => /^agent\.idle\.rssMb\.at(\d+)$/.exec(name)?.[1])
--- a/bench/capacity/page.ts
+++ b/bench/capacity/page.ts
@@ -5,12 +5,13 @@
 import {Measured, figure, lineOf, readMeasured, sizesOf} from './measured';
 import {RoleTable, Row, roleTables, round} from './rows';
 
-const START = '<!-- worked out by: node scripts/run.mjs capacity page -->';
-const END = '<!-- end of the tables -->';
+const TABLES_START =
+  '<!-- worked out by: node scripts/run.mjs capacity page -->';
+const TABLES_END = '<!-- end of the tables -->';
 const STATES = ['idle', 'load'] as const;
 const ROLES = ['entry', 'agent', 'leader', 'follower'] as const;
 const QUANTITIES = ['processorPercent', 'rssMb', 'bytesPerS'] as const;
-/** The page, below the root. */
+/** The page, relative to the repository root. */
 export const PAGE_FILE = path.join('docs', 'CAPACITY.md');
 
 /** Replaces the tables of the page under `root`. */
@@ -20,13 +21,13 @@
   writeFileSync(file, withTables(text, readMeasured(root)));
 }
 
-/** The page with its tables worked out anew. */
+/** The page text with its tables computed from the measured figures. */
 export function withTables(text: string, measured: Measured): string {
-  const [before, rest] = text.split(START);
-  const [, after] = (rest ?? '').split(END);
+  const [before, rest] = text.split(TABLES_START);
+  const [, after] = (rest ?? '').split(TABLES_END);
   if (before === undefined || after === undefined)
-    throw new Error(`${PAGE_FILE} lacks the marks of its tables`);
-  return `${before}${START}\n\n${tables(measured)}\n${END}${after}`;
+    throw new Error(`${PAGE_FILE} lacks the markers of its tables`);
+  return `${before}${TABLES_START}\n\n${tables(measured)}\n${TABLES_END}${after}`;
 }
 
 function tables(measured: Measured): string {
@@ -49,7 +50,7 @@
   );
 }
 
-/** What a call costs, ours beside the bare proxy. */
+/** Cost of a call through the balancer and through the bare proxy. */
 function overheadTable({entryOverhead}: Measured): string {
   const bare = entryOverhead.baselines['bareProxy'] ?? {};
   const rows = Object.entries(entryOverhead.ours).map(([name, value]) => {
@@ -59,7 +60,7 @@
   return table('### Calls', ['Figure', 'Ours', 'Bare proxy'], rows);
 }
 
-/** Times against their marks. */
+/** Measured times and the bounds that they must meet. */
 function boundsTable({bounds}: Measured): string {
   const marks = bounds.baselines['mark'] ?? {};
   const rows = Object.entries(bounds.ours).map(([name, value]) => {
@@ -88,14 +89,14 @@
       })
     )
   );
-  const heads = sizes.map(size => `${size} agents`);
+  const sizeHeaders = sizes.map(size => `${size} agents`);
   return table(
     '### Slopes over the number of agents',
     [
       'Role',
       'State',
       'Quantity',
-      ...heads,
+      ...sizeHeaders,
       'Slope an agent',
       'Intercept',
       'R²',
--- a/bench/capacity/plan.ts
+++ b/bench/capacity/plan.ts
@@ -1,6 +1,6 @@
-/** The sizes that docs/CAPACITY.md works out: today's and the planned one. */
+/** The two deployment sizes of docs/CAPACITY.md: today's and the planned one. */
 
-/** Figures of one size; rates are a second. */
+/** Figures of one deployment size. */
 export interface Size {
   readonly entries: number;
   readonly agents: number;
@@ -11,7 +11,7 @@
   readonly changesPerDay: number;
 }
 
-/** Either user today; the rates are what two entries can be given at most. */
+/** Each user's size today; the rates are the most that two entries get. */
 export const TODAY: Size = {
   entries: 2,
   agents: 15,
@@ -22,7 +22,7 @@
   changesPerDay: 20,
 };
 
-/** The size to design for. */
+/** The size that the design must support. */
 export const PLANNED: Size = {
   entries: 2_900,
   agents: 10_000,
@@ -33,20 +33,20 @@
   changesPerDay: 17_000,
 };
 
-/** Regions and zones of the planned size. */
+/** Regions of the planned size. */
 export const REGIONS = 7;
-/** Control instances of one region's own log, within the 23 allowed. */
+/** Control instances per region, each region having its own log; 23 are allowed in all. */
 export const CONTROLS_PER_REGION = 3;
-/** Setting `subset-size` for nine pools: targets of each that entries follow. */
+/** Setting `subset-size`: the targets of each of nine pools that an entry follows. */
 const SUBSET_SIZE = 8;
 const POOLS = 9;
-/** Targets that one entry holds in place of all. */
-export const SUBSET = SUBSET_SIZE * POOLS;
+/** Targets that one entry follows, instead of all. */
+export const TARGETS_PER_ENTRY = SUBSET_SIZE * POOLS;
 
-/** The users' limits for control, a node. */
+/** The users' limits for the cost of control, per node. */
 export const LIMITS = {processorPercent: 3.1, rssMb: 64, bytesPerS: 6_000};
 
-/** A rule file as the planned size would need it. */
+/** A rule file for the planned size. */
 export function plannedRules(revision: number): string {
   const pools = Array.from({length: 9}, (_, i) => `model-${i}`);
   const customers = Array.from({length: 200}, (_, i) => `customer-${i}`);
--- a/bench/capacity/rows.ts
+++ b/bench/capacity/rows.ts
@@ -1,4 +1,4 @@
-/** The rows of docs/CAPACITY.md, worked out from what was measured. */
+/** Computes the rows of docs/CAPACITY.md from the measured figures. */
 
 import {diffRules} from '../../src/rules/ruleDiff';
 import {mean} from './leastSquares';
@@ -8,23 +8,23 @@
   LIMITS,
   PLANNED,
   REGIONS,
-  SUBSET,
+  TARGETS_PER_ENTRY,
   Size,
   TODAY,
   plannedRules,
 } from './plan';
 
-/** One line of a role's table. */
+/** One row of a role's table. */
 export interface Row {
   readonly what: string;
   readonly today: string;
   readonly planned: string;
-  /** What carries it, or would. */
+  /** The mechanism that supports the planned size, or one that would. */
   readonly mechanism: string;
   readonly carried: boolean;
 }
 
-/** One role. */
+/** The table of one process role. */
 export interface RoleTable {
   readonly role: string;
   readonly rows: readonly Row[];
@@ -32,24 +32,25 @@
 
 const SECONDS_PER_DAY = 86_400;
 const US_PER_S = 1e6;
-/** See `UsageTo`. */
-const USAGE_PERIOD_S = 5;
+/** Interval of usage reports; see `UsageTo`. */
+const USAGE_INTERVAL_S = 5;
 
 /**
- * Below this fit the slope of an entry or agent is noise, and the mean stands
- * for all sizes. Control is known to grow: its line is taken, and its fit told.
+ * Below this coefficient of determination, the slope of an entry or agent is
+ * noise and the mean is used for all sizes. The cost of control is known to
+ * grow, so its line is always used, and the table shows its fit.
  */
-const LEAST_R2 = 0.8;
+const MIN_R2 = 0.8;
 
-/** Control's cost is taken idle for the processor, else calls are in it. */
+/** Processor time is measured idle, since under load it would include that of the calls. */
 const STATES = {
   processorPercent: 'idle',
   rssMb: 'load',
   bytesPerS: 'load',
 } as const;
 
-/** The measured line at `n` agents. */
-function at(
+/** Value of the fitted line at `n` agents, or the mean if the slope is noise. */
+function valueAt(
   measured: Measured,
   role: Role,
   quantity: Quantity,
@@ -57,13 +58,13 @@
 ): number {
   const line = lineOf(measured, role, quantity, STATES[quantity]);
   const isControl = role === 'leader' || role === 'follower';
-  const isNoise = !isControl && line.r2 < LEAST_R2;
+  const isNoise = !isControl && line.r2 < MIN_R2;
   const x = isNoise ? meanSize(measured) : n;
   return line.intercept + line.slope * x;
 }
 
-/** Share of a core, in percent, that the calls of one process take. */
-function dataPercent(
+/** Percentage of a core that the calls and tokens of one process take. */
+function trafficPercent(
   {requestsPerS, tokensPerS}: Size,
   processes: number,
   usPerCall: number,
@@ -74,53 +75,56 @@
 }
 
 function entryRows(measured: Measured): readonly Row[] {
-  const list = (n: number) => at(measured, 'entry', 'bytesPerS', n);
-  const listed = list(SUBSET);
+  const controlBytes = (n: number) =>
+    valueAt(measured, 'entry', 'bytesPerS', n);
+  const subsetBytes = controlBytes(TARGETS_PER_ENTRY);
   const {entryOverhead} = measured;
   const perCall = figure(entryOverhead, 'entryUsPerCall');
   const perToken = figure(entryOverhead, 'entryUsPerToken');
-  const data = (size: Size) =>
-    dataPercent(size, size.entries, perCall, perToken);
-  const rss = (n: number) => at(measured, 'entry', 'rssMb', n);
+  const traffic = (size: Size) =>
+    trafficPercent(size, size.entries, perCall, perToken);
+  const rss = (n: number) => valueAt(measured, 'entry', 'rssMb', n);
   return [
     {
       what: 'targets known',
       today: String(TODAY.agents),
-      planned: `${SUBSET} of ${PLANNED.agents}, 8 of each of 9 pools`,
+      planned: `${TARGETS_PER_ENTRY} of ${PLANNED.agents}, 8 of each of 9 pools`,
       mechanism:
         'subset by rendezvous hash of entry and target, filtered by control',
       carried: true,
     },
     {
       what: 'bytes of control',
-      today: bytes(list(TODAY.agents)),
-      planned: `${bytes(listed)} with subsets`,
+      today: bytes(controlBytes(TODAY.agents)),
+      planned: `${bytes(subsetBytes)} with subsets`,
       mechanism: 'subsets, announcements only when changed',
-      carried: listed <= LIMITS.bytesPerS,
+      carried: subsetBytes <= LIMITS.bytesPerS,
     },
     {
       what: 'processor for control',
-      today: percent(at(measured, 'entry', 'processorPercent', TODAY.agents)),
-      planned: `${percent(at(measured, 'entry', 'processorPercent', SUBSET))} with subsets`,
+      today: percent(
+        valueAt(measured, 'entry', 'processorPercent', TODAY.agents)
+      ),
+      planned: `${percent(valueAt(measured, 'entry', 'processorPercent', TARGETS_PER_ENTRY))} with subsets`,
       mechanism: 'one poll of each control instance every 500 ms',
       carried:
-        at(measured, 'entry', 'processorPercent', SUBSET) <=
+        valueAt(measured, 'entry', 'processorPercent', TARGETS_PER_ENTRY) <=
         LIMITS.processorPercent,
     },
     {
       what: 'memory, whole process',
       today: megabytes(rss(TODAY.agents)),
-      planned: `${megabytes(rss(SUBSET))} with subsets`,
+      planned: `${megabytes(rss(TARGETS_PER_ENTRY))} with subsets`,
       mechanism: 'a bare Node process holds 41 MB of it',
-      carried: rss(SUBSET) <= LIMITS.rssMb,
+      carried: rss(TARGETS_PER_ENTRY) <= LIMITS.rssMb,
     },
     {
       what: 'processor for calls and tokens',
-      today: percent(data(TODAY)),
-      planned: `${percent(data(PLANNED))} (${round(PLANNED.requestsPerS / PLANNED.entries)} calls/s, ${round(PLANNED.tokensPerS / PLANNED.entries)} tokens/s)`,
+      today: percent(traffic(TODAY)),
+      planned: `${percent(traffic(PLANNED))} (${round(PLANNED.requestsPerS / PLANNED.entries)} calls/s, ${round(PLANNED.tokensPerS / PLANNED.entries)} tokens/s)`,
       mechanism:
         'one loop on one thread; work spread over entries by the platform',
-      carried: data(PLANNED) <= 70,
+      carried: traffic(PLANNED) <= 70,
     },
   ];
 }
@@ -129,8 +133,8 @@
   const {entryOverhead} = measured;
   const perCall = figure(entryOverhead, 'agentUsPerCall');
   const perToken = figure(entryOverhead, 'agentUsPerToken');
-  const data = (size: Size) =>
-    dataPercent(size, size.agents, perCall, perToken);
+  const traffic = (size: Size) =>
+    trafficPercent(size, size.agents, perCall, perToken);
   const rows: readonly [string, Quantity, (n: number) => string, string][] = [
     [
       'bytes of control',
@@ -153,8 +157,8 @@
   ];
   return [
     ...rows.map(([what, quantity, show, mechanism]) => {
-      // Nothing that an agent does depends on how many others there are.
-      const value = at(measured, 'agent', quantity, meanSize(measured));
+      // The work of an agent does not depend on the number of agents.
+      const value = valueAt(measured, 'agent', quantity, meanSize(measured));
       const carried = value <= LIMITS[quantity];
       return {
         what,
@@ -166,10 +170,10 @@
     }),
     {
       what: 'processor for calls and tokens',
-      today: percent(data(TODAY)),
-      planned: percent(data(PLANNED)),
+      today: percent(traffic(TODAY)),
+      planned: percent(traffic(PLANNED)),
       mechanism: 'one agent beside each target',
-      carried: data(PLANNED) <= 70,
+      carried: traffic(PLANNED) <= 70,
     },
   ];
 }
@@ -179,7 +183,7 @@
 }
 
 function controlRows(measured: Measured): readonly Row[] {
-  const regional = Math.ceil(PLANNED.agents / REGIONS);
+  const agentsPerRegion = Math.ceil(PLANNED.agents / REGIONS);
   const rows: readonly [string, Quantity, (n: number) => string, number][] = [
     ['processor', 'processorPercent', percent, 70],
     ['memory, whole process', 'rssMb', megabytes, 1_000],
@@ -188,27 +192,27 @@
   const fit = (role: Role, quantity: Quantity) =>
     round(lineOf(measured, role, quantity, STATES[quantity]).r2);
   const scaled = (['leader', 'follower'] as const).flatMap(role =>
-    rows.map(([what, quantity, show, most]) => {
-      const value = (n: number) => at(measured, role, quantity, n);
+    rows.map(([what, quantity, show, limit]) => {
+      const value = (n: number) => valueAt(measured, role, quantity, n);
       return {
         what: `${role}: ${what}`,
         today: show(value(TODAY.agents)),
-        planned: `${show(value(PLANNED.agents))} in one log, ${show(value(regional))} in a region's (R² ${fit(role, quantity)})`,
+        planned: `${show(value(PLANNED.agents))} in one log, ${show(value(agentsPerRegion))} in a region's (R² ${fit(role, quantity)})`,
         mechanism: `would: log and membership sharded by region, ${REGIONS} x ${CONTROLS_PER_REGION} instances, and relays in each zone that poll for its processes; entries counted as agents`,
-        carried: value(PLANNED.agents) <= most && quantity !== 'bytesPerS',
+        carried: value(PLANNED.agents) <= limit && quantity !== 'bytesPerS',
       };
     })
   );
   return [...scaled, ...changeRows()];
 }
 
-/** Sizes of texts, computed by the code that runs, for a planned rule file. */
+/** Rows about changes and usage; text sizes are computed by the product's own code. */
 function changeRows(): readonly Row[] {
   const from = {revision: 1, text: plannedRules(1)};
-  const lines = from.text.replace('revision 1 ', 'revision 2 ');
-  const to = {revision: 2, text: lines.replace('zone-5 in', 'zone-5 out')};
+  const nextText = from.text.replace('revision 1 ', 'revision 2 ');
+  const to = {revision: 2, text: nextText.replace('zone-5 in', 'zone-5 out')};
   const diff = JSON.stringify(diffRules(from, to)).length;
-  const daily = (size: number) =>
+  const bytesPerSecond = (size: number) =>
     (size * PLANNED.changesPerDay) / SECONDS_PER_DAY;
   const logPerDay = (size: Size) =>
     (size.changesPerDay * from.text.length) / 1e6;
@@ -216,9 +220,9 @@
     {
       what: 'a change of one line, to each process from each instance',
       today: `${diff} bytes`,
-      planned: `${diff} bytes against ${from.text.length} whole; ${round(CONTROLS_PER_REGION * daily(diff))} bytes/s at ${PLANNED.changesPerDay} changes a day`,
+      planned: `${diff} bytes against ${from.text.length} whole; ${round(CONTROLS_PER_REGION * bytesPerSecond(diff))} bytes/s at ${PLANNED.changesPerDay} changes a day`,
       mechanism: 'difference checked by digest, else the whole file',
-      carried: CONTROLS_PER_REGION * daily(diff) <= LIMITS.bytesPerS,
+      carried: CONTROLS_PER_REGION * bytesPerSecond(diff) <= LIMITS.bytesPerS,
     },
     {
       what: 'log written for changes',
@@ -245,15 +249,15 @@
     },
     {
       what: 'use for charging, from each entry',
-      today: `${round(useBytes(TODAY))} bytes/s`,
-      planned: `${round(useBytes(PLANNED))} bytes/s with another customer at each call`,
+      today: `${round(usageReportBytes(TODAY))} bytes/s`,
+      planned: `${round(usageReportBytes(PLANNED))} bytes/s with another customer at each call`,
       mechanism: 'rows that changed within 5 s, to the leader only',
-      carried: useBytes(PLANNED) <= LIMITS.bytesPerS,
+      carried: usageReportBytes(PLANNED) <= LIMITS.bytesPerS,
     },
     {
       what: 'log written for use',
-      today: bytes(loggedUse(TODAY)),
-      planned: `${bytes(loggedUse(PLANNED))} in one log, ${bytes(loggedUse(PLANNED) / REGIONS)} in a region's`,
+      today: bytes(usageLogBytes(TODAY)),
+      planned: `${bytes(usageLogBytes(PLANNED))} in one log, ${bytes(usageLogBytes(PLANNED) / REGIONS)} in a region's`,
       mechanism:
         'all rows of each entry whose use changed, every 5 s; would: changed rows only, as entries send them',
       carried: false,
@@ -261,23 +265,23 @@
   ];
 }
 
-/** A row, by the text that is sent. */
-function rowBytes(): number {
+/** Size of one usage row as it is sent. */
+function usageRowBytes(): number {
   const row = {customer: 'customer-100', requests: 1e6, tokens: 1e9};
   return JSON.stringify({...row, queueMs: 1e6}).length;
 }
 
-/** At most one row changes with a call. */
-function useBytes({customers, requestsPerS, entries}: Size): number {
-  const calls = (requestsPerS / entries) * USAGE_PERIOD_S;
-  return (Math.min(customers, calls) * rowBytes()) / USAGE_PERIOD_S;
+/** Rate of usage reports of one entry; a call changes at most one row. */
+function usageReportBytes({customers, requestsPerS, entries}: Size): number {
+  const calls = (requestsPerS / entries) * USAGE_INTERVAL_S;
+  return (Math.min(customers, calls) * usageRowBytes()) / USAGE_INTERVAL_S;
 }
 
-function loggedUse({customers, entries}: Size): number {
-  return (entries * customers * rowBytes()) / USAGE_PERIOD_S;
+function usageLogBytes({customers, entries}: Size): number {
+  return (entries * customers * usageRowBytes()) / USAGE_INTERVAL_S;
 }
 
-/** All roles of the page. */
+/** The tables of all roles. */
 export function roleTables(measured: Measured): readonly RoleTable[] {
   return [
     {role: 'Entry', rows: entryRows(measured)},
@@ -286,7 +290,7 @@
   ];
 }
 
-/** Three significant digits. */
+/** Formats a number with three significant digits. */
 export function round(value: number): string {
   return String(Number(value.toPrecision(3)));
 }
