--- a/bench/measures/balance.ts
+++ b/bench/measures/balance.ts
@@ -1,6 +1,6 @@
 /**
- * `balance`: how near the choice of target comes to a greedy choice with
- * perfect and instant knowledge, while load reports lag by up to 5 s.
+ * `balance`: tail latency of the target choice, compared with a greedy choice
+ * that knows the current load exactly, while load reports lag by up to 5 s.
  */
 
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
@@ -19,14 +19,14 @@
 
 const LOAD = 0.75;
 const MAX_REPORT_LAG_MS = 5000;
-/** Step time of one target in twelve over that of the others. */
-const STRAGGLE = 1.5;
-const STRAGGLER_EVERY = 12;
+/** Slowdown of the step time of one target in twelve. */
+const STRAGGLER_SLOWDOWN = 1.5;
+const STRAGGLER_INTERVAL = 12;
 const WARM_UP_MS = 15_000;
-/** Time for the last requests to end. */
+/** Time after the end of the window for the last requests to end. */
 const SETTLE_MS = 12_000;
-/** Largest p99 over the best choice that we accept; the users name none. */
-const MOST_OVER_BEST = 1.15;
+/** Largest accepted ratio of p99 to that of the best choice; the users name no value. */
+const MAX_RATIO_TO_BEST = 1.15;
 
 const CHOOSERS: readonly ChooserName[] = [
   'ours',
@@ -63,7 +63,7 @@
     [{name: 'all', fromMs: WARM_UP_MS, toMs: endMs}]
   );
   cluster.targets.forEach(({gate}, index) => {
-    if (index % STRAGGLER_EVERY === 0) gate.engine.slow = STRAGGLE;
+    if (index % STRAGGLER_INTERVAL === 0) gate.engine.slow = STRAGGLER_SLOWDOWN;
   });
   cluster.events.runUntil(endMs + SETTLE_MS);
   const figures = cluster.recorder.window('all');
@@ -99,16 +99,18 @@
   return Object.fromEntries(entries);
 }
 
-function overBest(figures: Figures): readonly (readonly [string, number])[] {
+function ratiosToBest(
+  figures: Figures
+): readonly (readonly [string, number])[] {
   return Object.entries(figures).filter(([name]) => name.endsWith('OverBest'));
 }
 
-function judge(
+function failureCause(
   ours: Figures,
   baselines: Readonly<Record<string, Figures>>
 ): string | undefined {
-  for (const [name, value] of overBest(ours)) {
-    if (value > MOST_OVER_BEST)
+  for (const [name, value] of ratiosToBest(ours)) {
+    if (value > MAX_RATIO_TO_BEST)
       return `${name} is ${value.toFixed(2)}: old reports hide bursts`;
     for (const [baseline, figures] of Object.entries(baselines))
       if (value > figures[name]!) return `${name}: ${baseline} does better`;
@@ -130,12 +132,12 @@
     leastOutstanding: figuresOf('leastOutstanding', byShape),
     twoChoices: figuresOf('twoChoices', byShape),
   };
-  const cause = judge(ours, baselines);
+  const cause = failureCause(ours, baselines);
   return {
     ours,
     baselines,
     bound: figuresOf('perfect', byShape),
-    mark: `p99 at most ${MOST_OVER_BEST} of the best choice and under every baseline`,
+    mark: `p99 at most ${MAX_RATIO_TO_BEST} of the best choice and under every baseline`,
     met: cause === undefined,
     cause,
     plots: [
@@ -156,5 +158,5 @@
   };
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const balance: Measure = {key: 'balance', run};
--- a/bench/measures/bounds.ts
+++ b/bench/measures/bounds.ts
@@ -1,6 +1,7 @@
 /**
- * Times that operators and callers were promised, on a whole deployment of
- * real processes: rules in force, a zone out, a new leader, a wiped instance.
+ * `bounds`: times promised to operators and callers, on a deployment of real
+ * processes: until rules are applied everywhere, until a zone gets no more work,
+ * until there is a new leader, and until a wiped instance has recovered.
  */
 
 import {rmSync} from 'node:fs';
@@ -15,12 +16,12 @@
 import {SHANNONSIDE, SMALL} from '../deployment/shape';
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 
-const LOOK_MS = 20;
-const GIVE_UP_MS = 20_000;
+const POLL_INTERVAL_MS = 20;
+const WAIT_TIMEOUT_MS = 20_000;
 const CALLERS = 8;
 
-/** The marks, milliseconds. */
-const MARKS: Figures = {
+/** Upper bounds of the figures, in milliseconds. */
+const UPPER_BOUNDS: Figures = {
   inForceMaxMs: 2_000,
   zoneOutLastMs: 3_000,
   zoneOutP99Ms: 1_000,
@@ -37,19 +38,22 @@
   ) {}
 
   /**
-   * Submits and waits until every process has said that it holds the file. A
-   * process says so with its next poll, so up to one poll interval is added.
+   * Submits a file and waits until every process has reported that it holds it.
+   * Processes report with their next poll, which adds up to one poll interval.
    */
   async submit(zonesOut: readonly string[]): Promise<number> {
     const startedAtMs = performance.now();
     await this.accept(zonesOut);
-    const held = ({processes}: ClusterStatus) =>
+    const isHeldEverywhere = ({processes}: ClusterStatus) =>
       processes.every(({heldRevision}) => heldRevision >= this.revision);
-    await this.until('the file is not in force everywhere', held);
+    await this.waitUntil(
+      'the file is not in force everywhere',
+      isHeldEverywhere
+    );
     return performance.now() - startedAtMs;
   }
 
-  /** Milliseconds from acceptance to the ends of later calls in the zone. */
+  /** Milliseconds from the acceptance of a zone out to the end of each later call in the zone. */
   async zoneOut(watchMs: number): Promise<readonly number[]> {
     const outZone = this.zone(1);
     const endedAtMs: number[] = [];
@@ -76,7 +80,7 @@
     const old = leaderOf(await this.client.status());
     await this.deployment.child(old).end('SIGKILL');
     const startedAtMs = performance.now();
-    await this.until('there is no new leader', status => {
+    await this.waitUntil('there is no new leader', status => {
       const leader = findLeader(status);
       return leader !== undefined && leader !== old;
     });
@@ -85,8 +89,8 @@
     return elapsedMs;
   }
 
-  /** From the start of an instance with an empty disk to its vote. */
-  async wiped(): Promise<number> {
+  /** Time from the start of a wiped instance until it is a voter and has caught up. */
+  async recoverWiped(): Promise<number> {
     const status = await this.client.status();
     const leader = leaderOf(status);
     const follower = ['control-0', 'control-1', 'control-2'].find(
@@ -99,7 +103,7 @@
       status.instances.find(({instanceId}) => instanceId === leader) ?? {};
     const startedAtMs = performance.now();
     await this.deployment.restart(follower);
-    await this.until('the wiped instance is not whole', ({instances}) =>
+    await this.waitUntil('the wiped instance is not whole', ({instances}) =>
       instances.some(
         one =>
           one.instanceId === follower &&
@@ -126,17 +130,17 @@
       throw new Error(`submission answered ${answer.kind}`);
   }
 
-  private async until(
-    otherwise: string,
-    holds: (status: ClusterStatus) => boolean
+  private async waitUntil(
+    failure: string,
+    condition: (status: ClusterStatus) => boolean
   ): Promise<void> {
     const startedAtMs = performance.now();
     for (;;) {
       const status = await this.client.status().catch(() => undefined);
-      if (status !== undefined && holds(status)) return;
-      if (performance.now() - startedAtMs > GIVE_UP_MS)
-        throw new Error(`${otherwise} after ${GIVE_UP_MS} ms`);
-      await delay(LOOK_MS);
+      if (status !== undefined && condition(status)) return;
+      if (performance.now() - startedAtMs > WAIT_TIMEOUT_MS)
+        throw new Error(`${failure} after ${WAIT_TIMEOUT_MS} ms`);
+      await delay(POLL_INTERVAL_MS);
     }
   }
 }
@@ -164,7 +168,7 @@
     inForce.push(await bounds.submit(i % 2 === 0 ? [bounds.zone(0)] : []));
   const zoneOut = await bounds.zoneOut(quick ? 1_200 : 6_000);
   const newLeaderMs = await bounds.newLeader();
-  const wipedWholeMs = await bounds.wiped();
+  const wipedWholeMs = await bounds.recoverWiped();
   return {
     submissions: inForce.length,
     inForceP50Ms: percentile(inForce, 50),
@@ -184,16 +188,18 @@
   const client = connectControl(deployment.clientSettings);
   try {
     const ours = await measure(new Bounds(deployment, client), quick);
-    const over = Object.entries(MARKS).filter(
-      ([name, most]) => (ours[name] ?? Infinity) > most
+    const exceeded = Object.entries(UPPER_BOUNDS).filter(
+      ([name, limit]) => (ours[name] ?? Infinity) > limit
+    );
+    const cause = exceeded.map(
+      ([name]) => `${name} ${Math.round(ours[name]!)}`
     );
-    const cause = over.map(([name]) => `${name} ${Math.round(ours[name]!)}`);
     return {
       ours,
-      baselines: {mark: MARKS},
+      baselines: {mark: UPPER_BOUNDS},
       mark: 'each time within its mark',
-      met: over.length === 0,
-      cause: over.length === 0 ? undefined : `over: ${cause.join(', ')}`,
+      met: exceeded.length === 0,
+      cause: exceeded.length === 0 ? undefined : `over: ${cause.join(', ')}`,
     };
   } finally {
     client.close();
@@ -201,5 +207,5 @@
   }
 }
 
-/** See the module. */
+/** See the head of this file. */
 export const bounds: Measure = {key: 'bounds', run};
--- a/bench/measures/coldStart.ts
+++ b/bench/measures/coldStart.ts
@@ -1,6 +1,6 @@
 /**
- * `coldStart`: the most work over what a cold engine bears, and the time until
- * it carries full load, behind a gate whose callers want all it can give.
+ * `coldStart`: the highest ratio of requests to the capacity of a cold engine,
+ * and the time until it takes full load, behind a gate with excess demand.
  */
 
 import {Engine, ENGINE_SHAPE, type ColdShape} from '../emulator/engine';
@@ -19,9 +19,9 @@
 interface Scenario {
   readonly name: string;
   readonly cold: ColdShape;
-  /** Demand over what a full engine answers. */
+  /** Demand relative to the throughput of a warm engine. */
   readonly load: number;
-  readonly disturb?: (run: Run) => void;
+  readonly inject?: (run: Run) => void;
 }
 
 interface Run {
@@ -33,7 +33,7 @@
 const END_MS = 150_000;
 const SAMPLE_MS = 500;
 const FLOOD_LOAD = 3;
-/** Stands for a time that did not end within the run. */
+/** Value of a time that did not end within the run. */
 const NEVER = -1;
 
 const SCENARIOS: readonly Scenario[] = [
@@ -49,14 +49,14 @@
     name: 'ruleRaisedMidRamp',
     cold: {...COLD, exponent: 2},
     load: FLOOD_LOAD,
-    disturb: ({events, gate}) =>
+    inject: ({events, gate}) =>
       events.after(8000, () => gate.configure({...WARMUP, start: 32})),
   },
   {
     name: 'agentRestartsMidRamp',
     cold: COLD,
     load: FLOOD_LOAD,
-    disturb: ({events, engine, gate}) =>
+    inject: ({events, engine, gate}) =>
       events.after(10_000, () => {
         engine.kill(true);
         gate.restart();
@@ -69,7 +69,7 @@
   'the limit grew past what the engine bore before its steps slowed enough to show it';
 
 interface ColdFigures {
-  readonly overBearable: number;
+  readonly maxRatioToCapacity: number;
   readonly falls: number;
   readonly fullAtMs: number;
   readonly curve: PlotSeries;
@@ -109,45 +109,45 @@
   const gate = new Gate(events, engine, options, false);
   const run = {events, engine, gate};
   offerLoad(run, scenario.load, seed);
-  scenario.disturb?.(run);
+  scenario.inject?.(run);
   const points: {x: number; y: number}[] = [];
   let fullAtMs = Infinity;
   for (let at = SAMPLE_MS; at <= END_MS; at += SAMPLE_MS) {
     events.runUntil(at);
     points.push({x: at / 1000, y: engine.running});
-    const bearsAll = engine.bearable() === Infinity && engine.isAlive;
-    const carries = gate.limit >= WARMUP.full && bearsAll;
-    if (carries && fullAtMs === Infinity) fullAtMs = at;
+    const isWarm = engine.bearable() === Infinity && engine.isAlive;
+    const takesFullLoad = gate.limit >= WARMUP.full && isWarm;
+    if (takesFullLoad && fullAtMs === Infinity) fullAtMs = at;
   }
   return {
-    overBearable: engine.mostOverBearable,
+    maxRatioToCapacity: engine.mostOverBearable,
     falls: engine.falls,
     fullAtMs,
     curve: {name: scenario.name, points},
   };
 }
 
-/** The shortest time in which such an engine can carry all. */
+/** The shortest time in which the engine of a scenario can take full load. */
 function shortestMs(scenario: Scenario): number {
   const lostMs = scenario.name === 'agentRestartsMidRamp' ? 10_000 : 0;
   return scenario.cold.warmMs + lostMs;
 }
 
-function timeOverShortest(scenario: Scenario, run: ColdFigures): number {
+function ratioToShortest(scenario: Scenario, run: ColdFigures): number {
   if (run.fullAtMs === Infinity) return NEVER;
   return run.fullAtMs / shortestMs(scenario);
 }
 
-/** The worst of all seeds. */
+/** The worst figures of all seeds. */
 function summarize(
   runs: readonly (readonly [Scenario, ColdFigures])[]
 ): Figures {
-  const most = Math.max(...runs.map(([, run]) => run.overBearable));
+  const maxRatio = Math.max(...runs.map(([, run]) => run.maxRatioToCapacity));
   const falls = runs.reduce((sum, [, run]) => sum + run.falls, 0);
   const byName = SCENARIOS.flatMap(({name}) => {
     const own = runs.filter(([scenario]) => scenario.name === name);
-    const times = own.map(([scenario, run]) => timeOverShortest(scenario, run));
-    const peaks = own.map(([, run]) => run.overBearable);
+    const times = own.map(([scenario, run]) => ratioToShortest(scenario, run));
+    const peaks = own.map(([, run]) => run.maxRatioToCapacity);
     const longest = times.includes(NEVER) ? NEVER : Math.max(...times);
     return [
       [`${name}.timeOverShortest`, longest],
@@ -155,7 +155,7 @@
     ] as const;
   });
   return {
-    mostOverBearable: most,
+    mostOverBearable: maxRatio,
     falls,
     ...Object.fromEntries(byName),
   };
@@ -192,5 +192,5 @@
   };
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const coldStart: Measure = {key: 'coldStart', run};
--- a/bench/measures/controlCost.ts
+++ b/bench/measures/controlCost.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs each process as the number of agents grows: processor,
- * resident memory and bytes on the wire by role, idle and under a small load.
+ * `controlCost`: processor time, resident memory and bytes on the wire of each
+ * role as the number of agents grows, idle and under a small load.
  */
 
 import {setTimeout as delay} from 'node:timers/promises';
@@ -22,7 +22,7 @@
 const ENTRIES = 2;
 const WINDOW_S = 6;
 const QUICK_WINDOW_S = 1;
-/** Time for new agents to be known everywhere and for start-up work to end. */
+/** Time until new agents are known everywhere and start-up work has ended. */
 const SETTLE_MS = 4_000;
 const QUICK_SETTLE_MS = 300;
 const LOAD_CONNECTIONS = 4;
@@ -36,10 +36,10 @@
   sharedFake: true,
 };
 
-/** The users' limits for control, a node. */
+/** The users' limits for the cost of control, per node. */
 const LIMITS = {processorPercent: 3.1, rssMb: 64, bytesPerS: 6_000};
 
-/** What one process took in one window. */
+/** Cost of one process, or the mean of one role, in one window. */
 interface Sample {
   readonly processorPercent: number;
   readonly rssMb: number;
@@ -48,7 +48,7 @@
 
 type ByRole = Readonly<Record<Role, Sample>>;
 
-/** Both windows at one number of agents. */
+/** Costs of both windows at one number of agents. */
 interface SizeResult {
   readonly agents: number;
   readonly idle: ByRole;
@@ -145,7 +145,7 @@
 
 const QUANTITIES = ['processorPercent', 'rssMb', 'bytesPerS'] as const;
 
-/** `entry.idle.bytesPerS.at54` and `.slope`, `.intercept`, `.r2` of each. */
+/** Figures such as `entry.idle.bytesPerS.at54`, with `.slope`, `.intercept` and `.r2` of each line. */
 function figuresOf(results: readonly SizeResult[]): Figures {
   const figures: Record<string, number> = {};
   for (const role of ROLES) {
@@ -171,8 +171,8 @@
   return Number(value.toPrecision(4));
 }
 
-/** What exceeds the users' limits at the largest size, idle. */
-function excess(largest: SizeResult): readonly string[] {
+/** Quantities that exceed the users' limits at the largest size, idle. */
+function exceededLimits(largest: SizeResult): readonly string[] {
   return (['entry', 'agent'] as const).flatMap(role =>
     QUANTITIES.filter(
       quantity => largest.idle[role][quantity] > LIMITS[quantity]
@@ -214,17 +214,17 @@
     const results: SizeResult[] = [];
     for (const size of quick ? QUICK_SIZES : SIZES)
       results.push(await cost.measure(size));
-    return judged(results);
+    return toResult(results);
   } finally {
     await deployment.stop();
     sink.close();
   }
 }
 
-function judged(results: readonly SizeResult[]): MeasureResult {
+function toResult(results: readonly SizeResult[]): MeasureResult {
   const largest = results.at(-1);
   if (largest === undefined) throw new Error('no size was measured');
-  const over = excess(largest);
+  const over = exceededLimits(largest);
   return {
     ours: figuresOf(results),
     baselines: {limit: LIMITS},
@@ -234,5 +234,5 @@
   };
 }
 
-/** See the module. */
+/** See the head of this file. */
 export const controlCost: Measure = {key: 'controlCost', run};
--- a/bench/measures/entryOverhead.ts
+++ b/bench/measures/entryOverhead.ts
@@ -1,6 +1,6 @@
 /**
- * What entry and agent cost a call, against a bare pass-through proxy in front
- * of the same target in the same run: whole answers and streams of tokens.
+ * `entryOverhead`: cost of entry and agent per call, compared with a bare proxy
+ * in front of the same target in the same run, for whole responses and streams.
  */
 
 import path from 'node:path';
@@ -14,15 +14,15 @@
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 
 const CONNECTIONS = 32;
-/** Ours and the bare proxy take turns, so that a busy machine weighs on both. */
+/** Rounds alternate between ours and the bare proxy, so a busy machine slows down both. */
 const ROUNDS = 3;
-const LEAST_SHARE = 0.7;
+const MIN_THROUGHPUT_SHARE = 0.7;
 const STREAM_TOKENS = 64;
 const ANSWER_BYTES = 1_024;
-/** Of the calls a second that we bear: there, waiting adds little. */
-const HALF = 0.5;
-const READY_TRIES = 100;
-const READY_PAUSE_MS = 50;
+/** Share of our maximum call rate at which queueing adds little latency. */
+const HALF_LOAD = 0.5;
+const MAX_READY_ATTEMPTS = 100;
+const READY_INTERVAL_MS = 50;
 
 const SHAPE: DeploymentShape = {
   zones: ['zone-a'],
@@ -54,17 +54,17 @@
   .map(line => `${line} # asked by the bench\n`)
   .join('');
 
-type Call = Pick<LoadPlan, 'method' | 'path' | 'body' | 'warmupCalls'>;
+type WarmedUpCall = Pick<LoadPlan, 'method' | 'path' | 'body' | 'warmupCalls'>;
 
-/** Cold code is several times slower, so calls go before the clock starts. */
-type ColdCall = Omit<Call, 'warmupCalls'>;
+/** A call without warm-up calls, which are needed since cold code is several times slower. */
+type RequestSpec = Omit<WarmedUpCall, 'warmupCalls'>;
 
-const WHOLE: ColdCall = {
+const WHOLE: RequestSpec = {
   method: 'GET',
   path: `/?bytes=${ANSWER_BYTES}`,
   body: '',
 };
-const STREAM: ColdCall = {
+const STREAM: RequestSpec = {
   method: 'POST',
   path: '/v1/chat/completions',
   body: JSON.stringify({
@@ -75,8 +75,8 @@
   }),
 };
 
-/** One kind of call through both, and what it cost the processes. */
-interface Compared {
+/** Results of one kind of call through both, with the processor time per call. */
+interface ComparedLoad {
   readonly ours: LoadResult;
   readonly bare: LoadResult;
   readonly entryUs: number;
@@ -84,15 +84,15 @@
   readonly bareUs: number;
 }
 
-/** The same rate of calls through both, well below what either bears. */
-interface AtHalfLoad {
+/** Results at the same call rate through both, well below the maximum of either. */
+interface HalfLoadResult {
   readonly ours: LoadResult;
   readonly bare: LoadResult;
 }
 
-/** The round with the median share, whole, so that its figures belong together. */
-function medianRound(rounds: readonly Compared[]): Compared {
-  const share = ({ours, bare}: Compared) => ours.callsPerS / bare.callsPerS;
+/** The round with the median throughput share; all figures are taken from this one round. */
+function medianRound(rounds: readonly ComparedLoad[]): ComparedLoad {
+  const share = ({ours, bare}: ComparedLoad) => ours.callsPerS / bare.callsPerS;
   const sorted = [...rounds].sort((a, b) => share(a) - share(b));
   const median = sorted[Math.floor(sorted.length / 2)];
   if (median === undefined) throw new Error('no round was run');
@@ -108,8 +108,8 @@
 
   async run(
     pool: string,
-    call: Call
-  ): Promise<{readonly full: Compared; readonly half: AtHalfLoad}> {
+    call: WarmedUpCall
+  ): Promise<{readonly full: ComparedLoad; readonly half: HalfLoadResult}> {
     const target = this.deployment.targets.find(one => one.pool === pool);
     if (target === undefined) throw new Error(`no target in ${pool}`);
     const proxy = await Child.start(
@@ -121,8 +121,8 @@
     const agent = this.deployment.child(`agent-${target.targetId}`).pid;
     try {
       const entryPort = this.deployment.entryPort(0);
-      await this.untilServed(entryPort, call);
-      const rounds: Compared[] = [];
+      await this.waitUntilServed(entryPort, call);
+      const rounds: ComparedLoad[] = [];
       for (let i = 0; i < this.rounds; i++) {
         const ours = await this.round(entryPort, call, [entry, agent]);
         const bare = await this.round(proxy.hello.port, call, [proxy.pid]);
@@ -135,7 +135,7 @@
         });
       }
       const full = medianRound(rounds);
-      const plan = {callsPerS: full.ours.callsPerS * HALF};
+      const plan = {callsPerS: full.ours.callsPerS * HALF_LOAD};
       const half = {
         ours: await this.load(entryPort, call, plan),
         bare: await this.load(proxy.hello.port, call, plan),
@@ -146,8 +146,12 @@
     }
   }
 
-  /** Warm-up calls are in the processor time, so they are in the divisor. */
-  private async round(port: number, call: Call, pids: readonly number[]) {
+  /** Runs a load; the divisor includes the warm-up calls, as the processor time does. */
+  private async round(
+    port: number,
+    call: WarmedUpCall,
+    pids: readonly number[]
+  ) {
     const before = pids.map(processorMs);
     const load = await this.load(port, call);
     const calls = load.calls + call.warmupCalls;
@@ -159,7 +163,7 @@
 
   private load(
     port: number,
-    call: Call,
+    call: WarmedUpCall,
     plan: Pick<LoadPlan, 'callsPerS'> = {}
   ): Promise<LoadResult> {
     return runLoad({
@@ -173,18 +177,24 @@
     });
   }
 
-  /** Rules have to arrive and the target has to be seen first. */
-  private async untilServed(port: number, call: Call): Promise<void> {
-    for (let tries = 0; tries < READY_TRIES; tries++) {
+  /** Waits until the rules have arrived and the target is known, so that calls are served. */
+  private async waitUntilServed(
+    port: number,
+    call: WarmedUpCall
+  ): Promise<void> {
+    for (let attempt = 0; attempt < MAX_READY_ATTEMPTS; attempt++) {
       const {failed} = await singleCall(port, call);
       if (!failed) return;
-      await new Promise(resolve => setTimeout(resolve, READY_PAUSE_MS));
+      await new Promise(resolve => setTimeout(resolve, READY_INTERVAL_MS));
     }
     throw new Error(`${call.path} is not served`);
   }
 }
 
-async function singleCall(port: number, {method, path: url, body}: ColdCall) {
+async function singleCall(
+  port: number,
+  {method, path: url, body}: RequestSpec
+) {
   const res = await fetch(`http://127.0.0.1:${port}${url}`, {
     method,
     headers: {'x-customer': 'harbour', 'content-type': 'application/json'},
@@ -194,7 +204,7 @@
   return {failed: !res.ok};
 }
 
-function figures(whole: LoadResult, stream: LoadResult): Figures {
+function loadFigures(whole: LoadResult, stream: LoadResult): Figures {
   return {
     wholeCallsPerS: whole.callsPerS,
     wholeP50Ms: whole.p50Ms,
@@ -207,8 +217,11 @@
   };
 }
 
-/** What a caller waits for us while nothing queues for the processor. */
-function halfLoadFigures(whole: AtHalfLoad, stream: AtHalfLoad): Figures {
+/** Latency that entry and agent add while no call queues for the processor. */
+function halfLoadFigures(
+  whole: HalfLoadResult,
+  stream: HalfLoadResult
+): Figures {
   return {
     halfLoadWholeCallsPerS: whole.ours.callsPerS,
     halfLoadWholeP50Ms: whole.ours.p50Ms,
@@ -223,16 +236,17 @@
   };
 }
 
-function judged(
-  whole: Compared,
-  stream: Compared,
+function toResult(
+  whole: ComparedLoad,
+  stream: ComparedLoad,
   halfLoad: Figures
 ): MeasureResult {
   const wholeShare = whole.ours.callsPerS / whole.bare.callsPerS;
   const streamShare = stream.ours.callsPerS / stream.bare.callsPerS;
-  const met = wholeShare >= LEAST_SHARE && streamShare >= LEAST_SHARE;
+  const met =
+    wholeShare >= MIN_THROUGHPUT_SHARE && streamShare >= MIN_THROUGHPUT_SHARE;
   const ours: Figures = {
-    ...figures(whole.ours, stream.ours),
+    ...loadFigures(whole.ours, stream.ours),
     wholeThroughputShare: wholeShare,
     streamThroughputShare: streamShare,
     wholeAddedP50Ms: whole.ours.p50Ms - whole.bare.p50Ms,
@@ -248,14 +262,14 @@
     ...halfLoad,
   };
   const bareProxy: Figures = {
-    ...figures(whole.bare, stream.bare),
+    ...loadFigures(whole.bare, stream.bare),
     wholeUsPerCall: whole.bareUs,
     streamUsPerToken: stream.bareUs / STREAM_TOKENS,
   };
   return {
     ours,
     baselines: {bareProxy},
-    mark: `at least ${LEAST_SHARE} of the bare proxy's throughput, whole and streaming`,
+    mark: `at least ${MIN_THROUGHPUT_SHARE} of the bare proxy's throughput, whole and streaming`,
     met,
     cause: met
       ? undefined
@@ -283,11 +297,11 @@
       warmupCalls: quick ? CONNECTIONS : 500,
     });
     const halfLoad = halfLoadFigures(whole.half, stream.half);
-    return judged(whole.full, stream.full, halfLoad);
+    return toResult(whole.full, stream.full, halfLoad);
   } finally {
     await deployment.stop();
   }
 }
 
-/** See the module. */
+/** See the head of this file. */
 export const entryOverhead: Measure = {key: 'entryOverhead', run};
--- a/bench/measures/expertPolicies.ts
+++ b/bench/measures/expertPolicies.ts
@@ -1,4 +1,4 @@
-/** The ways of placing experts that the measures of placement compare. */
+/** Policies of expert placement that the placement measures compare. */
 
 import type {ExpertMap} from '../../src/core/mapMessages';
 import type {PlacementShape, SlotChange} from '../../src/policy/placement';
@@ -17,25 +17,25 @@
 import {loadTimeMs, planCostMs} from '../../src/policy/rebalanceDecision';
 import {RebalancePlanner} from '../../src/policy/rebalancePlanner';
 
-/** What a policy has cost so far. */
+/** Accumulated cost of a policy. */
 export interface PolicyCost {
   loads: number;
   switches: number;
-  /** Step time lost by loading and switching. */
+  /** Step time lost to loads and map switches. */
   lostMs: number;
 }
 
-/** One way of placing experts, driven by reports alone. */
+/** A policy of expert placement that sees only the ranks' reports. */
 export interface PlacementPolicy {
   readonly name: string;
   readonly cost: PolicyCost;
-  /** The map in force. */
+  /** The active map. */
   readonly map: ExpertMap;
   observe(samples: readonly PopularitySample[]): void;
   tick(nowMs: number): void;
 }
 
-/** What every policy needs. */
+/** Inputs that all policies share. */
 export interface PolicySetup {
   readonly shape: PlacementShape;
   readonly initial: ExpertMap;
@@ -44,10 +44,10 @@
 
 interface PendingMap {
   readonly map: ExpertMap;
-  readonly inForceMs: number;
+  readonly activeFromMs: number;
 }
 
-/** Keeps the map that was best at the start. */
+/** Never changes the initial map, which is the best one at the start. */
 export class StaticPolicy implements PlacementPolicy {
   readonly cost: PolicyCost = {loads: 0, switches: 0, lostMs: 0};
   readonly map: ExpertMap;
@@ -82,7 +82,7 @@
   }
 
   tick(nowMs: number): void {
-    if (this.pending && nowMs >= this.pending.inForceMs) {
+    if (this.pending && nowMs >= this.pending.activeFromMs) {
       this.map = this.pending.map;
       this.pending = undefined;
     }
@@ -91,18 +91,19 @@
 
   protected abstract decide(nowMs: number): void;
 
-  protected start(map: ExpertMap, leadMs: number, nowMs: number): void {
+  protected startSwitch(map: ExpertMap, leadMs: number, nowMs: number): void {
     const loads = loadsNeeded(this.map, map).reduce((a, b) => a + b, 0);
     this.cost.loads += loads;
     this.cost.switches++;
     this.cost.lostMs += planCostMs(this.setup.cfg, loads);
-    this.pending = {map, inForceMs: nowMs + leadMs};
+    this.pending = {map, activeFromMs: nowMs + leadMs};
   }
 }
 
 /**
- * Greedy replicate-and-pack from scratch at a fixed interval. It is favoured:
- * its loads take no time, and rows go to the ranks that hold most of them.
+ * Greedy replicate-and-pack from scratch at a fixed interval. The comparison
+ * favours it: its loads take no time, and each new row of the map is assigned to
+ * the rank that already holds most of its experts.
  */
 export class ScratchPolicy extends DynamicPolicy {
   private nextMs = 0;
@@ -110,7 +111,7 @@
   constructor(
     name: string,
     setup: PolicySetup,
-    private readonly everyMs: number,
+    private readonly intervalMs: number,
     private readonly split: 'even' | 'best',
     private readonly minGain = 0
   ) {
@@ -131,8 +132,8 @@
         : withBestShares(relabelled, popularity);
     const gain = mapSkew(this.map, popularity) - mapSkew(map, popularity);
     if (gain <= this.minGain) return;
-    this.nextMs = nowMs + this.everyMs;
-    this.start(map, this.setup.cfg.switchLeadMs, nowMs);
+    this.nextMs = nowMs + this.intervalMs;
+    this.startSwitch(map, this.setup.cfg.switchLeadMs, nowMs);
   }
 }
 
@@ -141,7 +142,7 @@
   readonly readyMs: number;
 }
 
-/** The policy that ships, with a store that delivers one expert at a time. */
+/** The production planner, with a weight store that delivers one expert at a time. */
 export class IncrementalPolicy extends DynamicPolicy {
   private readonly planner: RebalancePlanner;
   private loading: readonly Loading[] = [];
@@ -162,10 +163,11 @@
     this.loading = this.loading.filter(item => item.readyMs > nowMs);
     done.forEach(({change}) => planner.loaded(change));
     const {switchTo, stage} = planner.next(this.map, this.pending?.map, nowMs);
-    if (switchTo) this.start(switchTo, this.setup.cfg.switchLeadMs, nowMs);
+    if (switchTo)
+      this.startSwitch(switchTo, this.setup.cfg.switchLeadMs, nowMs);
     const loadMs = loadTimeMs(this.setup.cfg, 1);
     stage?.forEach(change => {
-      // The store delivers one after the other.
+      // The store delivers experts one after the other.
       const freeMs = Math.max(nowMs, this.loading.at(-1)?.readyMs ?? 0);
       const readyMs = freeMs + loadMs;
       this.loading = [...this.loading, {change, readyMs}];
--- a/bench/measures/expertRun.ts
+++ b/bench/measures/expertRun.ts
@@ -1,4 +1,4 @@
-/** Runs several ways of placing experts over the same popularity. */
+/** Runs several placement policies over the same simulated popularity. */
 
 import {evenShape, rankLoads, skewOf} from '../../src/policy/placement';
 import {skewLowerBound} from '../../src/policy/placementBound';
@@ -17,9 +17,9 @@
 const TICK_MS = 250;
 const WARM_UP_MS = 60_000;
 const HOUR_MS = 3_600_000;
-const BOUND_EVERY_TICKS = 20;
+const BOUND_INTERVAL_TICKS = 20;
 
-/** Skews at the sampled steps, and costs an hour, of one policy. */
+/** Skews at the sampled steps and hourly costs of one policy. */
 export interface PolicyOutcome {
   readonly name: string;
   readonly mean: number;
@@ -33,12 +33,12 @@
   readonly skews: readonly number[];
 }
 
-/** Outcomes of all policies, and what no policy could beat. */
+/** Outcomes of all policies, and lower bounds that no policy can beat. */
 export interface ExpertRunOutcome {
   readonly policies: readonly PolicyOutcome[];
-  /** Mean of the lower bound with perfect knowledge and free moves. */
+  /** Mean lower bound of the skew, given perfect knowledge and free moves. */
   readonly bound: number;
-  /** Skew of a perfect map by the chance of tokens alone. */
+  /** Skew of a perfectly even map, caused only by the randomness of tokens. */
   readonly noiseMean: number;
   readonly noiseP99: number;
   readonly tickMs: number;
@@ -56,7 +56,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Skew of one step: the expected loads and the chance of its tokens. */
+/** Skew of one step: expected loads plus the random deviation of its tokens. */
 function sampledSkew(
   loads: readonly number[],
   world: WorldConfig,
@@ -91,15 +91,15 @@
   };
 }
 
-/** Parameters of a run. */
+/** Options of a run; `only` restricts it to the named policies. */
 export interface ExpertRunOptions {
   readonly seed: number;
   readonly durationMs: number;
   readonly world?: WorldConfig;
   readonly cfg?: RebalanceConfig;
   readonly only?: readonly string[];
-  /** Also the shipped planner with a perfect forecast: a bound of its own. */
-  readonly foresight?: boolean;
+  /** Adds the production planner with a perfect forecast, as a further bound. */
+  readonly withPerfectForecast?: boolean;
 }
 
 function policiesOf(setup: PolicySetup): readonly PlacementPolicy[] {
@@ -116,38 +116,38 @@
   ];
 }
 
-/** The same store and planner, with reports that are never late or wrong. */
-function foresight(
+/** The production planner with a forecast that is always exact. */
+function perfectForecastPolicy(
   setup: PolicySetup,
   world: WorldConfig,
   seed: number
 ): PlacementPolicy {
-  const ahead = new ExpertWorld(world, new SeededRandom(seed));
-  const forecast = new ForeseenPopularity(ahead, TICK_MS);
+  const futureWorld = new ExpertWorld(world, new SeededRandom(seed));
+  const forecast = new ForeseenPopularity(futureWorld, TICK_MS);
   return new IncrementalPolicy('perfectForecast', setup, forecast);
 }
 
-const QUICK_MS = 4 * 60_000;
-const FULL_MS = 3_600_000;
-const shared = new Map<string, ExpertRunOutcome>();
+const QUICK_RUN_MS = 4 * 60_000;
+const FULL_RUN_MS = 3_600_000;
+const cachedRuns = new Map<string, ExpertRunOutcome>();
 
-/** The run that the measures of placement share. */
+/** The cached run that all placement measures share. */
 export function sharedRun(options: MeasureOptions): ExpertRunOutcome {
   const id = `${options.seed} ${options.quick}`;
-  const durationMs = options.quick ? QUICK_MS : FULL_MS;
-  const known = shared.get(id);
+  const durationMs = options.quick ? QUICK_RUN_MS : FULL_RUN_MS;
+  const known = cachedRuns.get(id);
   const run =
     known ??
     runExperts({
       seed: options.seed,
       durationMs,
-      foresight: !options.quick,
+      withPerfectForecast: !options.quick,
     });
-  shared.set(id, run);
+  cachedRuns.set(id, run);
   return run;
 }
 
-/** One policy of a run. */
+/** Outcome of a policy by name. */
 export function policyOf(run: ExpertRunOutcome, name: string): PolicyOutcome {
   const found = run.policies.find(policy => policy.name === name);
   if (found === undefined) throw new Error(`no policy ${name}`);
@@ -165,27 +165,29 @@
   const setup = {shape, initial, cfg};
   const policies = [
     ...policiesOf(setup),
-    ...(options.foresight ? [foresight(setup, world, options.seed)] : []),
+    ...(options.withPerfectForecast
+      ? [perfectForecastPolicy(setup, world, options.seed)]
+      : []),
   ].filter(policy => options.only?.includes(policy.name) ?? true);
   const skews = policies.map((): number[] => []);
   const bounds: number[] = [];
-  const floor: number[] = [];
+  const noiseSkews: number[] = [];
   const even = new Array<number>(world.ranks).fill(1 / world.ranks);
   const ticks = (options.durationMs + WARM_UP_MS) / TICK_MS;
   for (let tick = 0; tick < ticks; tick++) {
     const samples = source.advance(TICK_MS);
     const popularity = source.popularity();
-    const counted = source.nowMs > WARM_UP_MS;
+    const isMeasured = source.nowMs > WARM_UP_MS;
     policies.forEach((policy, index) => {
       policy.observe(samples);
       policy.tick(source.nowMs);
-      if (!counted) return;
+      if (!isMeasured) return;
       const loads = rankLoads(policy.map, popularity);
       skews[index]?.push(sampledSkew(loads, world, noise));
     });
-    if (!counted) continue;
-    floor.push(sampledSkew(even, world, noise));
-    if (tick % BOUND_EVERY_TICKS === 0)
+    if (!isMeasured) continue;
+    noiseSkews.push(sampledSkew(even, world, noise));
+    if (tick % BOUND_INTERVAL_TICKS === 0)
       bounds.push(skewLowerBound(shape, popularity));
   }
   return {
@@ -198,8 +200,8 @@
       )
     ),
     bound: mean(bounds),
-    noiseMean: mean(floor),
-    noiseP99: quantile(floor, 0.99),
+    noiseMean: mean(noiseSkews),
+    noiseP99: quantile(noiseSkews, 0.99),
     tickMs: TICK_MS,
   };
 }
--- a/bench/measures/expertWorld.ts
+++ b/bench/measures/expertWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Popularity of experts over time, for the measures of placement: Zipf with a
- * slow drift of every expert and bursts of a few, and the reports that the
- * ranks make of it, late and with gaps.
+ * Simulated popularity of experts for the placement measures: a Zipf
+ * distribution with slow drift of every expert and bursts of a few, and the
+ * ranks' reports of it, which are late and sometimes lost.
  */
 
 import type {PopularitySample} from '../../src/policy/popularity';
@@ -12,33 +12,33 @@
   readonly experts: number;
   readonly ranks: number;
   readonly zipf: number;
-  /** Most that one expert can have: each token takes several different ones. */
+  /** Maximum share of one expert; limited since each token uses several different ones. */
   readonly maxShare: number;
-  /** Standard deviation of the drift of each logarithm, and its time scale. */
+  /** Standard deviation of the drift of each log popularity, and its time constant. */
   readonly driftSigma: number;
   readonly driftTauMs: number;
-  /** Turnover of the requests in work, which smooths the drift; 0 for none. */
+  /** Time in which the running requests are replaced, which smooths the drift; 0 for no smoothing. */
   readonly turnoverMs: number;
   readonly burstEveryMs: number;
   readonly burstExperts: number;
   readonly burstFactor: readonly [number, number];
   readonly burstHoldMs: readonly [number, number];
   readonly burstRampTauMs: number;
-  /** Tokens times experts a token, by all ranks in a step. */
+  /** Tokens times experts per token, over all ranks in one step. */
   readonly assignmentsPerStep: number;
   readonly stepMs: number;
-  /** Delay of a report, its loss, and the time between two of a rank. */
+  /** Delay range of a report, probability of its loss, and report interval of a rank. */
   readonly reportLagMs: readonly [number, number];
   readonly reportLoss: number;
   readonly reportEveryMs: number;
-  /** Ranks whose reports are told apart. */
+  /** Number of ranks that send reports. */
   readonly reporters: number;
 }
 
 /**
- * Every token takes 8 different experts, so that none has more than 1 in 8.
- * An answer of 1000 tokens at 30 ms stays 30 s in work, and popularity is an
- * average over the requests in work: hence the turnover.
+ * Default parameters. Every token uses 8 different experts, so that none has a
+ * share above 1 in 8. A response of 1000 tokens at 30 ms runs for 30 s, and
+ * popularity is an average over the running requests, hence the turnover.
  */
 export const WORLD: WorldConfig = {
   experts: 256,
@@ -61,7 +61,7 @@
   reporters: 64,
 };
 
-const CAP_PASSES = 4;
+const CAP_ITERATIONS = 4;
 const TABLE_SIZE = 1 << 16;
 
 interface Burst {
@@ -70,31 +70,31 @@
   readonly endMs: number;
 }
 
-interface Pending {
+interface ReportInTransit {
   readonly arrivesMs: number;
   readonly sample: PopularitySample;
 }
 
-/** Normally distributed, mean 0 and deviation 1. */
+/** A normally distributed number with mean 0 and standard deviation 1. */
 export function gaussian(random: SeededRandom): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-function between(random: SeededRandom, range: readonly [number, number]) {
+function randomBetween(random: SeededRandom, range: readonly [number, number]) {
   return range[0] + (range[1] - range[0]) * random.next();
 }
 
-/** Popularity that advances with the time, and the reports on their way. */
+/** The popularity at the simulated time, and the reports that are in transit. */
 export class ExpertWorld {
   private readonly base: readonly number[];
-  private readonly target: number[];
+  private readonly driftTarget: number[];
   private readonly drift: number[];
-  private readonly boost: number[];
+  private readonly burstBoost: number[];
   private bursts: Burst[] = [];
-  private pending: Pending[] = [];
+  private inTransit: ReportInTransit[] = [];
   private nextReportMs: number[];
-  private readonly chance: GaussianTable;
+  private readonly gaussianTable: GaussianTable;
   private shares?: readonly number[];
   nowMs = 0;
 
@@ -102,18 +102,18 @@
     readonly cfg: WorldConfig,
     private readonly random: SeededRandom
   ) {
-    this.chance = new GaussianTable(random);
+    this.gaussianTable = new GaussianTable(random);
     const order = shuffled(cfg.experts, random);
-    this.base = order.map(place => -cfg.zipf * Math.log(place + 1));
-    this.target = order.map(() => cfg.driftSigma * gaussian(random));
-    this.drift = [...this.target];
-    this.boost = order.map(() => 0);
+    this.base = order.map(position => -cfg.zipf * Math.log(position + 1));
+    this.driftTarget = order.map(() => cfg.driftSigma * gaussian(random));
+    this.drift = [...this.driftTarget];
+    this.burstBoost = order.map(() => 0);
     this.nextReportMs = Array.from({length: cfg.reporters}, () =>
-      between(random, [0, cfg.reportEveryMs])
+      randomBetween(random, [0, cfg.reportEveryMs])
     );
   }
 
-  /** Share of each expert now; they add up to 1. */
+  /** Current share of each expert; the shares add up to 1. */
   popularity(): readonly number[] {
     this.shares ??= this.currentShares();
     return this.shares;
@@ -121,53 +121,56 @@
 
   private currentShares(): readonly number[] {
     const raw = this.base.map((base, expert) =>
-      Math.exp(base + (this.drift[expert] ?? 0) + (this.boost[expert] ?? 0))
+      Math.exp(
+        base + (this.drift[expert] ?? 0) + (this.burstBoost[expert] ?? 0)
+      )
     );
-    return capped(raw, this.cfg.maxShare);
+    return normalizeWithCap(raw, this.cfg.maxShare);
   }
 
-  /** Moves the time on and returns the reports that arrive by then. */
+  /** Advances the time by `ms` and returns the reports that have arrived. */
   advance(ms: number): readonly PopularitySample[] {
     this.nowMs += ms;
     this.shares = undefined;
-    this.driftBy(ms);
-    this.burstBy(ms);
+    this.advanceDrift(ms);
+    this.advanceBursts(ms);
     this.report();
-    const due = this.pending.filter(item => item.arrivesMs <= this.nowMs);
-    this.pending = this.pending.filter(item => item.arrivesMs > this.nowMs);
+    const due = this.inTransit.filter(item => item.arrivesMs <= this.nowMs);
+    this.inTransit = this.inTransit.filter(item => item.arrivesMs > this.nowMs);
     return due.map(item => item.sample);
   }
 
-  private driftBy(ms: number): void {
-    const keep = Math.exp(-ms / this.cfg.driftTauMs);
-    const noise = this.cfg.driftSigma * Math.sqrt(1 - keep * keep);
+  private advanceDrift(ms: number): void {
+    const retained = Math.exp(-ms / this.cfg.driftTauMs);
+    const noise = this.cfg.driftSigma * Math.sqrt(1 - retained * retained);
     const {turnoverMs} = this.cfg;
-    const follow = turnoverMs > 0 ? 1 - Math.exp(-ms / turnoverMs) : 1;
-    this.target.forEach((value, expert) => {
-      const next = value * keep + noise * gaussian(this.random);
+    const followRatio = turnoverMs > 0 ? 1 - Math.exp(-ms / turnoverMs) : 1;
+    this.driftTarget.forEach((value, expert) => {
+      const next = value * retained + noise * gaussian(this.random);
       const drift = this.drift[expert] ?? 0;
-      this.target[expert] = next;
-      this.drift[expert] = drift + follow * (next - drift);
+      this.driftTarget[expert] = next;
+      this.drift[expert] = drift + followRatio * (next - drift);
     });
   }
 
-  private burstBy(ms: number): void {
+  private advanceBursts(ms: number): void {
     this.bursts = this.bursts.filter(burst => burst.endMs > this.nowMs);
     if (this.random.chance(ms / this.cfg.burstEveryMs)) this.startBurst();
-    const target = this.boost.map(() => 0);
+    const target = this.burstBoost.map(() => 0);
     for (const {expert, factor} of this.bursts)
       target[expert] = Math.max(target[expert] ?? 0, Math.log(factor));
-    const step = 1 - Math.exp(-ms / this.cfg.burstRampTauMs);
-    this.boost.forEach((value, expert) => {
-      this.boost[expert] = value + step * ((target[expert] ?? 0) - value);
+    const followRatio = 1 - Math.exp(-ms / this.cfg.burstRampTauMs);
+    this.burstBoost.forEach((value, expert) => {
+      this.burstBoost[expert] =
+        value + followRatio * ((target[expert] ?? 0) - value);
     });
   }
 
   private startBurst(): void {
-    const endMs = this.nowMs + between(this.random, this.cfg.burstHoldMs);
+    const endMs = this.nowMs + randomBetween(this.random, this.cfg.burstHoldMs);
     for (let n = 0; n < this.cfg.burstExperts; n++) {
       const expert = this.random.int(0, this.cfg.experts - 1);
-      const factor = between(this.random, this.cfg.burstFactor);
+      const factor = randomBetween(this.random, this.cfg.burstFactor);
       this.bursts.push({expert, factor, endMs});
     }
   }
@@ -183,25 +186,29 @@
   private sendReport(): void {
     const steps = this.cfg.reportEveryMs / this.cfg.stepMs;
     const tokens = (this.cfg.assignmentsPerStep / this.cfg.ranks) * steps;
-    const counts = this.chance.counts(this.popularity(), tokens);
+    const counts = this.gaussianTable.counts(this.popularity(), tokens);
     const atMs = this.nowMs - this.cfg.reportEveryMs / 2;
-    const arrivesMs = this.nowMs + between(this.random, this.cfg.reportLagMs);
-    this.pending.push({arrivesMs, sample: {atMs, counts}});
+    const arrivesMs =
+      this.nowMs + randomBetween(this.random, this.cfg.reportLagMs);
+    this.inTransit.push({arrivesMs, sample: {atMs, counts}});
   }
 }
 
-/** Scales to a sum of 1 with no share above `most`. */
-function capped(raw: readonly number[], most: number): readonly number[] {
+/** Scales to a sum of 1 and caps shares; approximate, since scaling raises capped shares again. */
+function normalizeWithCap(
+  raw: readonly number[],
+  maxShare: number
+): readonly number[] {
   let shares = raw;
-  for (let pass = 0; pass < CAP_PASSES; pass++) {
+  for (let iteration = 0; iteration < CAP_ITERATIONS; iteration++) {
     const total = shares.reduce((sum, value) => sum + value, 0);
-    shares = shares.map(value => Math.min(most, value / total));
+    shares = shares.map(value => Math.min(maxShare, value / total));
   }
   const total = shares.reduce((sum, value) => sum + value, 0);
   return shares.map(value => value / total);
 }
 
-/** Drawn once; a draw starts at a random place and goes on from there. */
+/** Precomputed normal deviates; each sample reads them from a random index on. */
 class GaussianTable {
   private readonly values: readonly number[];
 
@@ -209,13 +216,13 @@
     this.values = Array.from({length: TABLE_SIZE}, () => gaussian(random));
   }
 
-  /** Counts of a sample; normal approximation of the Poisson distribution. */
+  /** Random token counts; uses the normal approximation of the Poisson distribution. */
   counts(shares: readonly number[], total: number): readonly number[] {
     const start = this.random.int(0, TABLE_SIZE - 1);
     return shares.map((share, index) => {
       const mean = share * total;
-      const chance = this.values[(start + index) % TABLE_SIZE] ?? 0;
-      return Math.max(0, Math.round(mean + Math.sqrt(mean) * chance));
+      const deviate = this.values[(start + index) % TABLE_SIZE] ?? 0;
+      return Math.max(0, Math.round(mean + Math.sqrt(mean) * deviate));
     });
   }
 }
--- a/bench/measures/fairness.ts
+++ b/bench/measures/fairness.ts
@@ -1,6 +1,6 @@
 /**
- * `fairness`: what each customer gets while two large ones flood, and what the
- * flood does to the small ones' latency.
+ * `fairness`: the share of work of each customer while two large ones flood, and
+ * the effect of the flood on the latency of the small ones.
  */
 
 import {
@@ -16,13 +16,13 @@
 
 const LOAD = 0.6;
 const WARM_UP_MS = 20_000;
-/** Time for the flood to fill the queues before shares are counted. */
-const FILL_MS = 30_000;
+/** Time from the start of the flood until shares are measured, to fill the queues. */
+const QUEUE_FILL_MS = 30_000;
 const FLOOD_FACTORS = [10, 3];
 const MAX_SHARE_ERROR = 0.02;
 const MAX_LATENCY_RATIO = 1.2;
 
-interface Span {
+interface PhaseDurations {
   readonly calmMs: number;
   readonly floodMs: number;
 }
@@ -35,9 +35,13 @@
   }));
 }
 
-function runOne(gate: GateOptions, seed: number, span: Span): Cluster {
+function runOne(
+  gate: GateOptions,
+  seed: number,
+  span: PhaseDurations
+): Cluster {
   const floodAt = WARM_UP_MS + span.calmMs;
-  const endMs = floodAt + FILL_MS + span.floodMs;
+  const endMs = floodAt + QUEUE_FILL_MS + span.floodMs;
   const workload = new Workload(loads(true), seed, {
     fromMs: floodAt,
     toMs: endMs,
@@ -54,43 +58,47 @@
     workload,
     [
       {name: 'calm', fromMs: WARM_UP_MS, toMs: floodAt},
-      {name: 'flood', fromMs: floodAt + FILL_MS, toMs: endMs},
+      {name: 'flood', fromMs: floodAt + QUEUE_FILL_MS, toMs: endMs},
     ]
   );
   cluster.events.runUntil(endMs + 10_000);
   return cluster;
 }
 
-/** Weighted max-min parts of the work that was done in the flood. */
-function entitled(
+/** Weighted max-min fair parts of `total`, the work done during the flood. */
+function fairParts(
   demands: readonly {readonly share: number; readonly demand: number}[],
   total: number
 ): readonly number[] {
-  const given = demands.map(() => 0);
-  let left = total;
-  let open = demands.map((_, index) => index);
-  while (open.length > 0) {
-    const shares = open.reduce((sum, index) => sum + demands[index]!.share, 0);
-    const level = left / shares;
-    const small = open.filter(
+  const parts = demands.map(() => 0);
+  let remaining = total;
+  let unsatisfied = demands.map((_, index) => index);
+  while (unsatisfied.length > 0) {
+    const shares = unsatisfied.reduce(
+      (sum, index) => sum + demands[index]!.share,
+      0
+    );
+    const level = remaining / shares;
+    const satisfiable = unsatisfied.filter(
       index => demands[index]!.demand <= level * demands[index]!.share
     );
-    if (small.length === 0) {
-      for (const index of open) given[index] = level * demands[index]!.share;
-      return given;
+    if (satisfiable.length === 0) {
+      for (const index of unsatisfied)
+        parts[index] = level * demands[index]!.share;
+      return parts;
     }
-    for (const index of small) {
-      given[index] = demands[index]!.demand;
-      left -= given[index]!;
+    for (const index of satisfiable) {
+      parts[index] = demands[index]!.demand;
+      remaining -= parts[index]!;
     }
-    open = open.filter(index => !small.includes(index));
+    unsatisfied = unsatisfied.filter(index => !satisfiable.includes(index));
   }
-  return given;
+  return parts;
 }
 
 type Metric = 'firstToken' | 'perToken';
 
-function figuresOf(cluster: Cluster, span: Span): Figures {
+function figuresOf(cluster: Cluster, span: PhaseDurations): Figures {
   const {recorder} = cluster;
   const all = loads(true);
   const work = all.map(load => recorder.customerWork(load.customer, 'flood'));
@@ -104,8 +112,8 @@
     share: load.share,
     demand: load.floodFactor > 1 ? Infinity : calm[index]!,
   }));
-  const due = entitled(demands, total);
-  const errors = due.map((part, index) => Math.abs(part - work[index]!));
+  const fair = fairParts(demands, total);
+  const errors = fair.map((part, index) => Math.abs(part - work[index]!));
   const small = all.filter(load => load.share === 1);
   const pooled = (name: string, metric: Metric) =>
     p95(
@@ -137,7 +145,7 @@
   };
 }
 
-function judge(ours: Figures): string | undefined {
+function failureCause(ours: Figures): string | undefined {
   if (ours['shareError']! > MAX_SHARE_ERROR)
     return 'the shares of the flooding customers are off';
   if (ours['smallFirstTokenP95Ratio']! > MAX_LATENCY_RATIO)
@@ -148,13 +156,13 @@
 }
 
 async function run(options: MeasureOptions): Promise<MeasureResult> {
-  const span: Span = options.quick
+  const span: PhaseDurations = options.quick
     ? {calmMs: 120_000, floodMs: 120_000}
     : {calmMs: 600_000, floodMs: 600_000};
   const ours = figuresOf(runOne(OUR_GATE, options.seed, span), span);
   const fifoGate: GateOptions = {...OUR_GATE, queue: 'fifo'};
   const fifo = figuresOf(runOne(fifoGate, options.seed, span), span);
-  const cause = judge(ours);
+  const cause = failureCause(ours);
   return {
     ours,
     baselines: {fifo},
@@ -174,5 +182,5 @@
   };
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const fairness: Measure = {key: 'fairness', run};
--- a/bench/measures/fleet.ts
+++ b/bench/measures/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * `fleet`: what callers get and what it costs while demand moves between
- * models over a day, by who gives the orders.
+ * `fleet`: demand served and weights loaded while demand moves between models
+ * over a day, for each policy that assigns models to targets.
  */
 
 import {greedyPolicy, ourPolicy, staticPolicy} from '../fleet/fleetPolicies';
@@ -68,7 +68,7 @@
   return Object.assign({}, ...parts) as Figures;
 }
 
-/** Were every model on every target, only the pool as a whole would bound. */
+/** Upper bound of the served ratio, as if every target could serve every model. */
 function boundOf(options: MeasureOptions): Figures {
   const parts = Object.entries(shapes(options)).map(([name, shape]) => {
     const world = new FleetWorld(shape);
@@ -85,7 +85,7 @@
   return Object.assign({}, ...parts) as Figures;
 }
 
-function judge(
+function failureCause(
   ours: Figures,
   baselines: readonly Figures[],
   greedy: Figures
@@ -105,11 +105,11 @@
 async function run(options: MeasureOptions): Promise<MeasureResult> {
   const ours = allShapes(options, ourPolicy);
   const greedy = allShapes(options, greedyPolicy);
-  const still = allShapes(options, staticPolicy);
-  const cause = judge(ours, [still, greedy], greedy);
+  const unchanged = allShapes(options, staticPolicy);
+  const cause = failureCause(ours, [unchanged, greedy], greedy);
   return {
     ours,
-    baselines: {static: still, greedy},
+    baselines: {static: unchanged, greedy},
     bound: boundOf(options),
     mark: 'never below min, serves no less than either baseline, loads less than dividing anew',
     met: cause === undefined,
@@ -117,5 +117,5 @@
   };
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const fleet: Measure = {key: 'fleet', run};
--- a/bench/measures/foreseenPopularity.ts
+++ b/bench/measures/foreseenPopularity.ts
@@ -1,9 +1,9 @@
-/** Popularity as it will be: what no estimate from reports can beat. */
+/** A perfect forecast of popularity, which no estimate from reports can beat. */
 
 import type {PopularityForecast} from '../../src/policy/popularity';
 import type {ExpertWorld} from './expertWorld';
 
-/** Runs a second world of the same seed ahead of the first. */
+/** Forecasts by running a second world with the same seed ahead of the first. */
 export class ForeseenPopularity implements PopularityForecast {
   readonly known = true;
   private readonly byTick: (readonly number[])[] = [];
--- a/bench/measures/rebalanceCost.ts
+++ b/bench/measures/rebalanceCost.ts
@@ -1,16 +1,16 @@
-/** `rebalanceCost`: bytes moved and step time lost, against solving anew. */
+/** `rebalanceCost`: bytes moved and step time lost, compared with placing from scratch. */
 
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 import type {PolicyOutcome} from './expertRun';
 import {policyOf, sharedRun} from './expertRun';
 
-const BYTES_MARK = 0.25;
-const SKEW_MARK = 0.01;
-const GIGA = 1e9;
+const MAX_BYTES_RATIO = 0.25;
+const MAX_SKEW_DIFFERENCE = 0.01;
+const BYTES_PER_GB = 1e9;
 
 function figuresOf(policy: PolicyOutcome): Figures {
   return {
-    movedGbPerHour: policy.bytesPerHour / GIGA,
+    movedGbPerHour: policy.bytesPerHour / BYTES_PER_GB,
     loadsPerHour: policy.loadsPerHour,
     switchesPerHour: policy.switchesPerHour,
     stepTimeLostMsPerHour: policy.lostMsPerHour,
@@ -18,17 +18,17 @@
   };
 }
 
-/** The cheapest of the ways from scratch whose skew is as low as ours. */
+/** The cheapest from-scratch policy whose skew is as low as ours. */
 function cheapestEqual(
   mine: PolicyOutcome,
   scratch: readonly PolicyOutcome[]
 ): PolicyOutcome | undefined {
   return scratch
-    .filter(policy => policy.mean <= mine.mean + SKEW_MARK)
+    .filter(policy => policy.mean <= mine.mean + MAX_SKEW_DIFFERENCE)
     .sort((a, b) => a.bytesPerHour - b.bytesPerHour)[0];
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const rebalanceCost: Measure = {
   key: 'rebalanceCost',
   async run(options: MeasureOptions): Promise<MeasureResult> {
@@ -38,10 +38,11 @@
     const leastBytes = Math.min(...scratch.map(p => p.bytesPerHour));
     const leastSkew = Math.min(...scratch.map(p => p.mean));
     const rival = cheapestEqual(mine, scratch);
-    // With no rival of equal skew, ours must be cheaper than every one.
+    // Without a rival of equal skew, ours is compared with the cheapest of all.
     const bytesRatio = mine.bytesPerHour / (rival?.bytesPerHour ?? leastBytes);
     const skewOver = mine.mean - leastSkew;
-    const met = bytesRatio <= BYTES_MARK && skewOver <= SKEW_MARK;
+    const met =
+      bytesRatio <= MAX_BYTES_RATIO && skewOver <= MAX_SKEW_DIFFERENCE;
     return {
       ours: {
         ...figuresOf(mine),
@@ -49,7 +50,7 @@
         skewOverScratchRatio: skewOver,
       },
       baselines: Object.fromEntries(scratch.map(p => [p.name, figuresOf(p)])),
-      mark: `at most ${BYTES_MARK} of the bytes that solving from scratch moves, at equal skew within ${SKEW_MARK}`,
+      mark: `at most ${MAX_BYTES_RATIO} of the bytes that solving from scratch moves, at equal skew within ${MAX_SKEW_DIFFERENCE}`,
       met,
       cause: met
         ? undefined
--- a/bench/measures/stepTimeSkew.ts
+++ b/bench/measures/stepTimeSkew.ts
@@ -1,4 +1,4 @@
-/** `stepTimeSkew`: slowest over mean rank while popularity drifts and bursts. */
+/** `stepTimeSkew`: load of the slowest rank over the mean while popularity drifts and bursts. */
 
 import type {
   Figures,
@@ -10,10 +10,10 @@
 import type {ExpertRunOutcome, PolicyOutcome} from './expertRun';
 import {policyOf, sharedRun} from './expertRun';
 
-const MEAN_MARK = 1.05;
-const P99_MARK = 1.1;
-const CLOSER_MARK = 3;
-/** Points of a line in the report. */
+const MAX_MEAN_SKEW = 1.05;
+const MAX_P99_SKEW = 1.1;
+const MIN_TIMES_CLOSER = 3;
+/** Approximate number of points of a line in the report. */
 const PLOT_POINTS = 300;
 
 function figuresOf(policy: PolicyOutcome): Figures {
@@ -37,19 +37,19 @@
 }
 
 function causeOf(ours: Figures, closer: number): string | undefined {
-  const short: string[] = [];
+  const failures: string[] = [];
   const {meanRatio = 0, p99Ratio = 0} = ours;
-  if (meanRatio > MEAN_MARK) short.push(`mean ${meanRatio.toFixed(3)}`);
-  if (p99Ratio > P99_MARK)
-    short.push(
+  if (meanRatio > MAX_MEAN_SKEW) failures.push(`mean ${meanRatio.toFixed(3)}`);
+  if (p99Ratio > MAX_P99_SKEW)
+    failures.push(
       `p99 ${p99Ratio.toFixed(3)}: steps until the loads that a burst needs are there, one at a time`
     );
-  if (closer < CLOSER_MARK)
-    short.push(`only ${closer.toFixed(1)} times closer to 1 than static`);
-  return short.length === 0 ? undefined : short.join('; ');
+  if (closer < MIN_TIMES_CLOSER)
+    failures.push(`only ${closer.toFixed(1)} times closer to 1 than static`);
+  return failures.length === 0 ? undefined : failures.join('; ');
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const stepTimeSkew: Measure = {
   key: 'stepTimeSkew',
   async run(options: MeasureOptions): Promise<MeasureResult> {
@@ -68,7 +68,7 @@
         meanWithChanceRatio: run.noiseMean,
         p99WithChanceRatio: run.noiseP99,
       },
-      mark: `mean at most ${MEAN_MARK}, p99 at most ${P99_MARK}, at least ${CLOSER_MARK} times closer to 1 than static placement`,
+      mark: `mean at most ${MAX_MEAN_SKEW}, p99 at most ${MAX_P99_SKEW}, at least ${MIN_TIMES_CLOSER} times closer to 1 than static placement`,
       met: cause === undefined,
       cause,
       plots: [plotOf(run)],
--- a/bench/measures/subsets.ts
+++ b/bench/measures/subsets.ts
@@ -1,6 +1,6 @@
 /**
- * `subsets`: how evenly targets are followed when each entry follows a few of
- * each pool, and how many places move when a target or an entry goes.
+ * `subsets`: how evenly targets are loaded when each entry follows a subset of
+ * each pool, and how many subset members change when a target or an entry leaves.
  */
 
 import {chooseSubset, entrySeed, targetKey} from '../../src/policy/subset';
@@ -8,18 +8,18 @@
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 
 const ZONES = 17;
-const SUBSET = 64;
-/** For an entry that follows many pools. */
-const SMALL_SUBSET = 8;
-/** Targets of the largest of nine pools, about. */
+const SUBSET_SIZE = 64;
+/** Subset size of an entry that follows many pools. */
+const SMALL_SUBSET_SIZE = 8;
+/** The number of targets is about that of the largest of nine pools. */
 const FULL = {entries: 2_900, targets: 1_111, trials: 10};
 const QUICK = {entries: 290, targets: 400, trials: 3};
-/** Requests in work on a target at the mean, for the load with the balance. */
-const REQUESTS = 30;
-/** Targets that the balance compares for a request. */
-const SAMPLE = 3;
-const LOAD_MARK = 1.15;
-const MOVED_MARK = 1.05;
+/** Mean number of running requests per target in the balanced load. */
+const REQUESTS_PER_TARGET = 30;
+/** Number of targets that the load balancing compares for a request. */
+const CHOICES = 3;
+const MAX_LOAD_RATIO = 1.15;
+const MAX_MOVED_RATIO = 1.05;
 
 interface Target {
   readonly targetId: string;
@@ -29,46 +29,46 @@
 }
 
 type Random = () => number;
-/** The targets of one entry; `index` is its place among the entries now. */
-type Way = (
+/** Chooses the subset of one entry; `index` is its position in the list of entries. */
+type SubsetPolicy = (
   entryId: string,
   index: number,
   targets: readonly Target[],
   random: Random
 ) => readonly Target[];
 
-function rendezvous(size: number): Way {
+function rendezvous(size: number): SubsetPolicy {
   return (entryId, _, targets) =>
     chooseSubset(entrySeed(`${entryId}/pool`), targets, size);
 }
 
-/** Drawn anew whenever the list changes. */
-const drawn: Way = (_entryId, _index, targets, random) =>
-  shuffled(targets, random).slice(0, SUBSET);
+/** A random subset, drawn again whenever the list changes. */
+const randomSubset: SubsetPolicy = (_entryId, _index, targets, random) =>
+  shuffled(targets, random).slice(0, SUBSET_SIZE);
 
-/** A stretch of the list that begins where the hash of the entry says. */
+/** A consecutive part of the list, which starts at the hash of the entry modulo its length. */
 function hashMod(entryId: string, _: number, targets: readonly Target[]) {
   const start = entrySeed(entryId) % targets.length;
   return Array.from(
-    {length: SUBSET},
+    {length: SUBSET_SIZE},
     (_unused, i) => targets[(start + i) % targets.length]!
   );
 }
 
-/** Rounds of entries deal the shuffled list out among themselves. */
-function dealt(_: string, index: number, targets: readonly Target[]) {
-  const perRound = Math.floor(targets.length / SUBSET);
+/** Deterministic subsetting: each round of entries divides a shuffled list among them. */
+function dealtInRounds(_: string, index: number, targets: readonly Target[]) {
+  const perRound = Math.floor(targets.length / SUBSET_SIZE);
   const round = shuffled(targets, seeded(Math.floor(index / perRound)));
-  const start = (index % perRound) * SUBSET;
-  return round.slice(start, start + SUBSET);
+  const start = (index % perRound) * SUBSET_SIZE;
+  return round.slice(start, start + SUBSET_SIZE);
 }
 
-const WAYS: Readonly<Record<string, Way>> = {
-  ours: rendezvous(SUBSET),
-  [`oursOf${SMALL_SUBSET}`]: rendezvous(SMALL_SUBSET),
-  random: drawn,
+const POLICIES: Readonly<Record<string, SubsetPolicy>> = {
+  ours: rendezvous(SUBSET_SIZE),
+  [`oursOf${SMALL_SUBSET_SIZE}`]: rendezvous(SMALL_SUBSET_SIZE),
+  random: randomSubset,
   hashMod,
-  dealt,
+  dealt: dealtInRounds,
 };
 
 function seeded(seed: number): Random {
@@ -93,7 +93,7 @@
   private readonly random: Random;
 
   constructor(
-    private readonly way: Way,
+    private readonly policy: SubsetPolicy,
     size: typeof FULL,
     seed: number
   ) {
@@ -118,12 +118,12 @@
     return new Map(
       entryIds.map((entryId, index) => [
         entryId,
-        this.way(entryId, index, targets, this.random),
+        this.policy(entryId, index, targets, this.random),
       ])
     );
   }
 
-  /** Load of every target when each entry spreads the same over its own. */
+  /** Load of each target if every entry spreads an equal load evenly over its subset. */
   equalLoad(subsets: Subsets): readonly number[] {
     const loads = new Map(this.targets.map(target => [target, 0]));
     for (const own of subsets.values())
@@ -132,15 +132,15 @@
     return [...loads.values()];
   }
 
-  /** The same when an entry takes the least loaded of a few of its own. */
+  /** Load of each target if entries choose the least loaded of a few of their subset. */
   balancedLoad(subsets: Subsets): readonly number[] {
     const loads = new Map(this.targets.map(target => [target, 0]));
     const lists = [...subsets.values()];
-    const requests = REQUESTS * this.targets.length;
+    const requests = REQUESTS_PER_TARGET * this.targets.length;
     for (let i = 0; i < requests; i++) {
       const own = lists[i % lists.length] ?? [];
       const picks = Array.from(
-        {length: SAMPLE},
+        {length: CHOICES},
         () => own[Math.floor(this.random() * own.length)]!
       );
       const least = picks.reduce((best, one) =>
@@ -156,8 +156,8 @@
   }
 }
 
-/** Places of `after` that `before` did not have. */
-function moved(before: Subsets, after: Subsets): number {
+/** Number of subset members in `after` that were not in `before`. */
+function countMoved(before: Subsets, after: Subsets): number {
   let count = 0;
   for (const [entryId, own] of after) {
     const held = new Set(before.get(entryId));
@@ -166,7 +166,7 @@
   return count;
 }
 
-function spread(values: readonly number[]) {
+function loadRange(values: readonly number[]) {
   const mean = meanOf(values);
   const byMean = values.map(value => value / mean);
   return {most: Math.max(...byMean), least: Math.min(...byMean)};
@@ -176,22 +176,25 @@
   return values.reduce((sum, one) => sum + one, 0) / values.length;
 }
 
-function figuresOf(way: Way, {quick, seed}: MeasureOptions): Figures {
+function figuresOf(way: SubsetPolicy, {quick, seed}: MeasureOptions): Figures {
   const size = quick ? QUICK : FULL;
   const world = new World(way, size, seed);
   const before = world.subsets();
-  const equal = spread(world.equalLoad(before));
-  const balanced = spread(world.balancedLoad(before));
+  const equal = loadRange(world.equalLoad(before));
+  const balanced = loadRange(world.balancedLoad(before));
   const byTarget = Array.from({length: size.trials}, () => {
     const gone = world.pick(world.targets);
     const left = world.targets.filter(target => target !== gone);
     const held = [...before.values()].filter(own => own.includes(gone)).length;
-    return {held, moved: moved(before, world.subsets(world.entryIds, left))};
+    return {
+      held,
+      moved: countMoved(before, world.subsets(world.entryIds, left)),
+    };
   });
   const byEntry = Array.from({length: size.trials}, () => {
     const gone = world.pick(world.entryIds);
     const left = world.entryIds.filter(entryId => entryId !== gone);
-    return moved(before, world.subsets(left));
+    return countMoved(before, world.subsets(left));
   });
   const zones = [...before.values()].map(
     own => new Set(own.map(target => target.availabilityZone)).size
@@ -208,11 +211,12 @@
   };
 }
 
-function judge(figures: Figures): string | undefined {
+function failureCause(figures: Figures): string | undefined {
   const value = (name: string) => figures[name] ?? NaN;
   const faults = [
-    value('balancedLoadMostOverMean') <= LOAD_MARK ? [] : ['load uneven'],
-    value('placesMovedByTarget') <= MOVED_MARK * value('placesOfThatTarget')
+    value('balancedLoadMostOverMean') <= MAX_LOAD_RATIO ? [] : ['load uneven'],
+    value('placesMovedByTarget') <=
+    MAX_MOVED_RATIO * value('placesOfThatTarget')
       ? []
       : ['a target moves places of others'],
     value('placesMovedByEntry') === 0 ? [] : ['an entry moves places'],
@@ -222,19 +226,19 @@
 }
 
 async function run(options: MeasureOptions): Promise<MeasureResult> {
-  const figures = Object.entries(WAYS).map(
+  const figures = Object.entries(POLICIES).map(
     ([name, way]) => [name, figuresOf(way, options)] as const
   );
   const {ours = {}, ...baselines} = Object.fromEntries(figures);
-  const cause = judge(ours);
+  const cause = failureCause(ours);
   return {
     ours,
     baselines,
-    mark: `most load with the balance within ${LOAD_MARK} of the mean, a target that goes moves at most ${MOVED_MARK} of its own places, an entry none, every zone in every subset`,
+    mark: `most load with the balance within ${MAX_LOAD_RATIO} of the mean, a target that goes moves at most ${MAX_MOVED_RATIO} of its own places, an entry none, every zone in every subset`,
     met: cause === undefined,
     cause,
   };
 }
 
-/** See the module. */
+/** See the head of this file. */
 export const subsets: Measure = {key: 'subsets', run};
--- a/bench/measures/zoneOutage.ts
+++ b/bench/measures/zoneOutage.ts
@@ -1,6 +1,6 @@
 /**
- * `zoneOutage`: what callers see while one of three zones leaves and returns,
- * by rule and by a silent loss, at 60% load.
+ * `zoneOutage`: failures and latency that callers see while one of three zones
+ * goes out and returns, by rule or by a sudden loss, at 60% load.
  */
 
 import type {GateOptions} from '../emulator/gate';
@@ -26,7 +26,7 @@
 const END_MS = 240_000;
 const DRAIN_MS = 60_000;
 const MAX_LATENCY_RATIO = 1.5;
-const MAX_GONE_MS = 3000;
+const MAX_NEW_WORK_MS = 3000;
 
 const WINDOWS: readonly Window[] = [
   {name: 'steady', fromMs: STEADY_FROM_MS, toMs: OUT_AT_MS},
@@ -34,10 +34,10 @@
   {name: 'return', fromMs: IN_AT_MS, toMs: END_MS},
 ];
 
-/** `overload` is a graceful outage in which the rest cannot carry all. */
+/** `overload` is a graceful outage in which the other zones cannot take the full load. */
 type Kind = 'graceful' | 'sudden' | 'overload';
 const KINDS: readonly Kind[] = ['graceful', 'sudden', 'overload'];
-const OVERLOAD = 0.85;
+const OVERLOAD_LOAD = 0.85;
 const FULL_RUN_SEEDS = 3;
 
 interface Policy {
@@ -67,7 +67,7 @@
   policy: Policy,
   seed: number
 ): Figures {
-  const load = kind === 'overload' ? OVERLOAD : LOAD;
+  const load = kind === 'overload' ? OVERLOAD_LOAD : LOAD;
   const perSecond = load * shape.targets * engineCapacity();
   const workload = new Workload(tenCustomers(perSecond), seed);
   const cluster = new Cluster(
@@ -75,12 +75,12 @@
     workload,
     WINDOWS
   );
-  const goneMs = outage(cluster, kind);
+  const goneMs = runOutage(cluster, kind);
   return figuresOf(cluster, goneMs);
 }
 
-/** Runs it all; returns how long the zone still got new work. */
-function outage(cluster: Cluster, kind: Kind): number {
+/** Runs the outage; returns how long the zone still got new work after it began. */
+function runOutage(cluster: Cluster, kind: Kind): number {
   const {events} = cluster;
   const zone = cluster.inZone(ZONE);
   events.runUntil(OUT_AT_MS);
@@ -89,7 +89,7 @@
   events.runUntil(IN_AT_MS);
   const last = Math.max(...zone.map(({gate}) => gate.lastStartAt));
   if (kind !== 'sudden') {
-    // Maintenance restarts the engines, so they return cold.
+    // The outage stands for maintenance, which restarts the engines: they return cold.
     zone.forEach(({gate}) => gate.engine.kill(false));
     cluster.reviveZone(ZONE, COLD);
     cluster.setZoneOut(ZONE, false);
@@ -100,7 +100,7 @@
   return Math.max(0, last - OUT_AT_MS);
 }
 
-/** What the customers with the smallest share saw. */
+/** Refusals and latency of the customers with the smallest share. */
 function smallCustomers({recorder, workload}: Cluster): Figures {
   const small = workload.customers.filter(({share}) => share === 1);
   const inWindow = (name: string) =>
@@ -145,8 +145,8 @@
   };
 }
 
-/** The highest of each figure over several runs. */
-function worst(runs: readonly Figures[]): Figures {
+/** The highest value of each figure over several runs. */
+function highestFigures(runs: readonly Figures[]): Figures {
   const names = Object.keys(runs[0]!);
   return Object.fromEntries(
     names.map(name => [name, Math.max(...runs.map(run => run[name]!))])
@@ -163,7 +163,7 @@
   const seeds = Array.from({length: count}, (_, i) => options.seed + i);
   for (const shape of shapes)
     for (const kind of KINDS) {
-      const figures = worst(
+      const figures = highestFigures(
         seeds.map(seed => runOne(shape, kind, policy, seed))
       );
       for (const [name, value] of Object.entries(figures))
@@ -172,12 +172,12 @@
   return Object.fromEntries(all);
 }
 
-function judge(ours: Figures): string | undefined {
+function failureCause(ours: Figures): string | undefined {
   for (const [name, value] of Object.entries(ours)) {
     if (name.includes('.overload.') && !name.endsWith('.failed')) continue;
     if (name.endsWith('.failed') && value > 0)
       return `${name}: the retry budget was used up`;
-    if (name.endsWith('.newWorkGoneMs') && value > MAX_GONE_MS)
+    if (name.endsWith('.newWorkGoneMs') && value > MAX_NEW_WORK_MS)
       return `${name} is ${value} ms`;
     if (name.endsWith('.coldFalls') && value > 0)
       return `${name}: a cold engine was overloaded`;
@@ -191,14 +191,14 @@
 async function run(options: MeasureOptions): Promise<MeasureResult> {
   const shapes = [SHANNONSIDE, ABZEICHENWERK];
   const ours = runAll(OURS, shapes, options);
-  // The deployments differ by the way to the callers only.
+  // The deployments differ only in the path to the callers, so quick runs compare one.
   const compared = options.quick ? [SHANNONSIDE] : shapes;
   const baselines = Object.fromEntries(
     Object.entries(BASELINES).map(
       ([name, policy]) => [name, runAll(policy, compared, options)] as const
     )
   );
-  const cause = judge(ours);
+  const cause = failureCause(ours);
   return {
     ours,
     baselines,
@@ -208,5 +208,5 @@
   };
 }
 
-/** The measure. */
+/** See the head of this file. */
 export const zoneOutage: Measure = {key: 'zoneOutage', run};
