--- a/tests/ablations.spec.ts
+++ b/tests/ablations.spec.ts
@@ -10,10 +10,10 @@
   readonly changes: readonly {readonly file: string; readonly find: string}[];
 }
 
-describe('list of what can be taken out', () => {
-  // A mechanism is renamed, and the text that takes it out fits nowhere. Days
-  // with it and without it would then be days of the same code.
-  it('should fit the sources, each change in one place', () => {
+describe('list of ablations', () => {
+  // If a mechanism is renamed, the text that removes it matches nowhere. Runs
+  // with and without the mechanism would then compare the same code.
+  it('should match the sources exactly once for each change', () => {
     const list = readFileSync(path.join(ROOT, 'bench', 'ablations.json'));
     const ablations = JSON.parse(list.toString()) as readonly Ablation[];
     for (const {name, changes} of ablations)
@@ -26,16 +26,16 @@
       }
   });
 
-  it('should refuse a change that fits nowhere, and undo one that fits', () => {
+  it('should reject a change that matches nowhere, and undo one that matches', () => {
     const dir = mkdtempSync(path.join(tmpdir(), 'marlpulley-change-'));
-    const place = path.join(dir, 'a.txt');
-    writeFileSync(place, 'one two');
+    const file = path.join(dir, 'a.txt');
+    writeFileSync(file, 'one two');
     const change = {file: 'a.txt', find: 'two', replace: 'three'};
     expect(changeText(dir, {...change, find: 'four'})).toContain('0 times');
     const undo = changeText(dir, change);
-    expect(readFileSync(place, 'utf8')).toBe('one three');
+    expect(readFileSync(file, 'utf8')).toBe('one three');
     if (typeof undo !== 'string') undo();
-    expect(readFileSync(place, 'utf8')).toBe('one two');
+    expect(readFileSync(file, 'utf8')).toBe('one two');
     rmSync(dir, {recursive: true});
   });
 });
--- a/tests/capacityPage.spec.ts
+++ b/tests/capacityPage.spec.ts
@@ -7,8 +7,8 @@
 const ROOT = path.join(__dirname, '..');
 const PAGE = readFileSync(path.join(ROOT, PAGE_FILE), 'utf8');
 
-describe('page of capacity', () => {
-  it('should hold what the measured file works out to', () => {
+describe('capacity page', () => {
+  it('should contain the tables computed from the measured file', () => {
     expect(withTables(PAGE, readMeasured(ROOT))).toBe(PAGE);
   });
 
@@ -21,7 +21,7 @@
     expect(withTables(PAGE, other)).not.toBe(PAGE);
   });
 
-  it('should take slopes that fit the measured sizes', () => {
+  it('should use slopes that fit the measured sizes', () => {
     const {ours} = readMeasured(ROOT).controlCost;
     const names = Object.keys(ours).filter(name => name.endsWith('.slope'));
     expect(names).toHaveLength(24);
@@ -38,7 +38,7 @@
   });
 });
 
-describe('commands that the pages name', () => {
+describe('commands named on the pages', () => {
   const {scripts} = JSON.parse(
     readFileSync(path.join(ROOT, 'package.json'), 'utf8')
   ) as {readonly scripts: Readonly<Record<string, string>>};
