--- a/bench/deployment/cutRelay.ts
+++ b/bench/deployment/cutRelay.ts
@@ -12,15 +12,15 @@
 /** The direction in which no data passes. */
 export type CutDirection = 'both' | 'to server' | 'to client';
 
-interface Pair {
+interface RelayedConnection {
   readonly client: Socket;
   readonly server: Socket;
 }
 
 /** Relays connections to one port of this machine. */
 export class CutRelay {
-  private readonly pairs = new Set<Pair>();
-  private direction: CutDirection | undefined;
+  private readonly connections = new Set<RelayedConnection>();
+  private cutDirection: CutDirection | undefined;
 
   private constructor(
     private readonly listener: net.Server,
@@ -42,18 +42,18 @@
   }
 
   cut(direction: CutDirection = 'both'): void {
-    this.direction = direction;
-    for (const pair of this.pairs) this.applyTo(pair);
+    this.cutDirection = direction;
+    for (const pair of this.connections) this.applyCut(pair);
   }
 
   heal(): void {
-    this.direction = undefined;
-    for (const pair of this.pairs) this.applyTo(pair);
+    this.cutDirection = undefined;
+    for (const pair of this.connections) this.applyCut(pair);
   }
 
   close(): void {
     this.listener.close();
-    for (const {client, server} of this.pairs) {
+    for (const {client, server} of this.connections) {
       client.destroy();
       server.destroy();
     }
@@ -66,27 +66,27 @@
       allowHalfOpen: true,
     });
     const pair = {client, server};
-    this.pairs.add(pair);
+    this.connections.add(pair);
     forward(client, server);
     forward(server, client);
-    client.on('close', () => this.pairs.delete(pair));
-    this.applyTo(pair);
+    client.on('close', () => this.connections.delete(pair));
+    this.applyCut(pair);
   }
 
-  private applyTo({client, server}: Pair): void {
+  private applyCut({client, server}: RelayedConnection): void {
     setFlow(
       client,
-      this.direction === undefined || this.direction === 'to client'
+      this.cutDirection === undefined || this.cutDirection === 'to client'
     );
     setFlow(
       server,
-      this.direction === undefined || this.direction === 'to server'
+      this.cutDirection === undefined || this.cutDirection === 'to server'
     );
   }
 }
 
-function setFlow(source: Socket, flows: boolean): void {
-  if (flows) source.resume();
+function setFlow(source: Socket, isFlowing: boolean): void {
+  if (isFlowing) source.resume();
   else source.pause();
 }
 
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -5,7 +5,7 @@
 import path from 'node:path';
 import {Child} from './childProcess';
 import type {CutDirection} from './cutRelay';
-import {freePorts, holdPorts, onFreshPort} from './freePorts';
+import {freePorts, onFreshPort, reservePorts} from './freePorts';
 import {Links} from './links';
 import {ClientResult, runClient} from './runClient';
 import type {DeploymentShape, PoolShape} from './shape';
@@ -160,7 +160,7 @@
   private async startControls(): Promise<void> {
     // The ports are held while the settings are written: writing them opens relays,
     // and the kernel could give a relay the port of an instance that has yet to start.
-    const {ports, release} = await holdPorts(this.shape.controls);
+    const {ports, release} = await reservePorts(this.shape.controls);
     this.controlPorts = ports;
     const files = await Promise.all(
       ports.map((port, i) => this.writeControl(`control-${i}`, i, port))
@@ -247,7 +247,7 @@
     this.targets.push({
       targetId,
       pool,
-      availabilityZone: this.zone(index),
+      availabilityZone: this.zoneAt(index),
       fakePort,
     });
   }
@@ -257,7 +257,7 @@
     index: number,
     targetLines: readonly string[]
   ): Promise<void> {
-    const held = await holdPorts(this.shape.linked ? 1 : 0);
+    const held = await reservePorts(this.shape.linked ? 1 : 0);
     const [port = 0] = held.ports;
     this.agentPorts.set(id, port);
     const file = this.write(id, [
@@ -330,7 +330,7 @@
     return child;
   }
 
-  private zone(index: number): string {
+  private zoneAt(index: number): string {
     return this.shape.zones[index % this.shape.zones.length] ?? 'zone';
   }
 
@@ -338,7 +338,7 @@
     return [
       '[process]',
       `id = ${id}`,
-      `availability-zone = ${this.zone(index)}`,
+      `availability-zone = ${this.zoneAt(index)}`,
       `host = ${HOST}`,
       `log-level = ${this.shape.logLevel ?? 'info'}`,
       ...this.metricsLines(),
--- a/bench/deployment/freePorts.ts
+++ b/bench/deployment/freePorts.ts
@@ -26,14 +26,14 @@
 }
 
 /** Ports that the kernel gives to no other process until they are released. */
-export interface HeldPorts {
+export interface ReservedPorts {
   readonly ports: readonly number[];
   /** To be called right before the processes that listen on them start. */
   release(): Promise<void>;
 }
 
 /** Reserves distinct ports on 127.0.0.1 by listening on them. */
-export async function holdPorts(count: number): Promise<HeldPorts> {
+export async function reservePorts(count: number): Promise<ReservedPorts> {
   const servers = Array.from({length: count}, () =>
     net.createServer().listen(0, '127.0.0.1')
   );
@@ -47,7 +47,7 @@
 
 /** Distinct ports for processes that listen on them right away. */
 export async function freePorts(count: number): Promise<readonly number[]> {
-  const held = await holdPorts(count);
+  const held = await reservePorts(count);
   await held.release();
   return held.ports;
 }
--- a/bench/faults/check.ts
+++ b/bench/faults/check.ts
@@ -1,7 +1,7 @@
 /** Checks a recorded history against the promises, as a pure function. */
 
-import {leavingRuns, zoneRuns} from './checkNewWork';
-import {History, Sent, ofKind} from './history';
+import {runsAtLeavingTargets, runsInZonesOut} from './checkNewWork';
+import {History, Sent, eventsOfKind} from './history';
 import {unexplainedLosses} from './losses';
 
 /** One violation of a promise. */
@@ -28,11 +28,11 @@
   'not run': runsRefusedAsNotRun,
   'at most once': repeatedRuns,
   'cold start': history =>
-    ofKind(history, 'fell over').map(
+    eventsOfKind(history, 'fell over').map(
       ({target}) => `${target} got more than it could bear`
     ),
-  'zone out': zoneRuns,
-  'leaving target': leavingRuns,
+  'zone out': runsInZonesOut,
+  'leaving target': runsAtLeavingTargets,
   'whole answers': history => [
     ...wrongResponses(history),
     ...differingResponses(history),
@@ -48,7 +48,7 @@
     ...lostRevisions(history),
   ],
   heals: history =>
-    ofKind(history, 'settled').flatMap(({missing}) =>
+    eventsOfKind(history, 'settled').flatMap(({missing}) =>
       missing.map(what => `still wrong after the bound: ${what}`)
     ),
 };
@@ -63,12 +63,16 @@
 
 /** Sent calls by call id. */
 function sentById(history: History): ReadonlyMap<string, Sent> {
-  return new Map(ofKind(history, 'sent').map(sent => [sent.callId, sent]));
+  return new Map(
+    eventsOfKind(history, 'sent').map(sent => [sent.callId, sent])
+  );
 }
 
 function runsRefusedAsNotRun(history: History): readonly string[] {
-  const ran = new Map(ofKind(history, 'ran').map(run => [run.callId, run]));
-  return ofKind(history, 'answered').flatMap(({callId, result}) => {
+  const ran = new Map(
+    eventsOfKind(history, 'ran').map(run => [run.callId, run])
+  );
+  return eventsOfKind(history, 'answered').flatMap(({callId, result}) => {
     const run = ran.get(callId);
     if (run === undefined || result.kind !== 'refused') return [];
     if (result.outcome !== 'not run') return [];
@@ -79,7 +83,7 @@
 function repeatedRuns(history: History): readonly string[] {
   const sent = sentById(history);
   const byKey = new Map<string, string[]>();
-  for (const {callId, key, target} of ofKind(history, 'ran')) {
+  for (const {callId, key, target} of eventsOfKind(history, 'ran')) {
     if (key === undefined || sent.get(callId)?.call !== 'once') continue;
     byKey.set(key, [...(byKey.get(key) ?? []), `${callId} at ${target}`]);
   }
@@ -91,7 +95,7 @@
 }
 
 function wrongResponses(history: History): readonly string[] {
-  return ofKind(history, 'answered').flatMap(({callId, result}) =>
+  return eventsOfKind(history, 'answered').flatMap(({callId, result}) =>
     result.kind === 'wrong' ? [`${callId}: ${result.detail}`] : []
   );
 }
@@ -101,7 +105,7 @@
   const sent = sentById(history);
   const bodies = new Map<string, string>();
   const found: string[] = [];
-  for (const {callId, result} of ofKind(history, 'answered')) {
+  for (const {callId, result} of eventsOfKind(history, 'answered')) {
     const key = sent.get(callId)?.key;
     if (key === undefined || result.kind !== 'whole') continue;
     const known = bodies.get(key) ?? result.body ?? '';
@@ -112,8 +116,8 @@
 }
 
 function uncleanExits(history: History): readonly string[] {
-  const disturbed = ofKind(history, 'disturbed');
-  return ofKind(history, 'left').flatMap(({process, atMs, code}) => {
+  const disturbed = eventsOfKind(history, 'disturbed');
+  return eventsOfKind(history, 'left').flatMap(({process, atMs, code}) => {
     const wasKilled = disturbed.some(
       one =>
         one.fault === 'stopped' &&
@@ -128,7 +132,7 @@
 function revertedRevisions(history: History): readonly string[] {
   const highest = new Map<string, number>();
   const found: string[] = [];
-  const byTime = [...ofKind(history, 'in force')].sort(
+  const byTime = [...eventsOfKind(history, 'in force')].sort(
     (a, b) => a.atMs - b.atMs
   );
   for (const {process, revision} of byTime) {
@@ -142,7 +146,7 @@
 
 function conflictingAcceptances(history: History): readonly string[] {
   const texts = new Map<number, string>();
-  return ofKind(history, 'accepted').flatMap(({revision, text}) => {
+  return eventsOfKind(history, 'accepted').flatMap(({revision, text}) => {
     const known = texts.get(revision) ?? text;
     texts.set(revision, known);
     return known === text ? [] : [`two files were accepted as ${revision}`];
@@ -151,8 +155,8 @@
 
 /** The revision held in the end must be the last accepted one or a later one. */
 function lostRevisions(history: History): readonly string[] {
-  const accepted = ofKind(history, 'accepted');
-  return ofKind(history, 'settled').flatMap(({atMs, revision, text}) => {
+  const accepted = eventsOfKind(history, 'accepted');
+  return eventsOfKind(history, 'settled').flatMap(({atMs, revision, text}) => {
     const before = accepted.filter(one => one.atMs <= atMs);
     const last = Math.max(0, ...before.map(one => one.revision));
     if (revision < last) return [`${last} was accepted, ${revision} is held`];
--- a/bench/faults/checkNewWork.ts
+++ b/bench/faults/checkNewWork.ts
@@ -1,6 +1,6 @@
 /** Finds new work in zones that are out and at targets that are leaving. */
 
-import {Accepted, Disturbed, History, Ran, ofKind} from './history';
+import {Accepted, Disturbed, History, Ran, eventsOfKind} from './history';
 
 /** Time allowed until new work in the zone stops; `proof-ms` takes 2.5 s of it. */
 const MAX_ZONE_OUT_DELAY_MS = 3_000;
@@ -19,10 +19,10 @@
 }
 
 /** Runs in a zone that began later than the bound after it was taken out. */
-export function zoneRuns(history: History): readonly string[] {
-  const outs = zonesOut(ofKind(history, 'accepted'));
+export function runsInZonesOut(history: History): readonly string[] {
+  const outs = zoneOutIntervals(eventsOfKind(history, 'accepted'));
   const frozen = freezes(history);
-  return ofKind(history, 'ran').flatMap(run => {
+  return eventsOfKind(history, 'ran').flatMap(run => {
     const beganMs = beganAtMs(frozen, run);
     const out = outs.find(
       one =>
@@ -37,16 +37,16 @@
 }
 
 /** Runs at targets whose agents are leaving, with the time since SIGTERM. */
-export function leavingDelaysMs(
+export function runDelaysAfterSigterm(
   history: History
 ): readonly {readonly run: Ran; readonly afterMs: number}[] {
   const frozen = freezes(history);
-  const leavings = ofKind(history, 'leaving').map(({process, atMs}) => ({
+  const leavings = eventsOfKind(history, 'leaving').map(({process, atMs}) => ({
     target: process.replace(/^agent-/, ''),
-    fromMs: thawedAtMs(frozen, process, atMs),
+    fromMs: signalledAtMs(frozen, process, atMs),
     toMs: nextStartMs(history, process, atMs),
   }));
-  return ofKind(history, 'ran').flatMap(run => {
+  return eventsOfKind(history, 'ran').flatMap(run => {
     const beganMs = beganAtMs(frozen, run);
     const leaving = leavings.find(
       ({target, fromMs, toMs}) =>
@@ -58,8 +58,8 @@
 }
 
 /** Runs at a target that began later than the bound after SIGTERM to its agent. */
-export function leavingRuns(history: History): readonly string[] {
-  return leavingDelaysMs(history)
+export function runsAtLeavingTargets(history: History): readonly string[] {
+  return runDelaysAfterSigterm(history)
     .filter(({afterMs}) => afterMs > MAX_LEAVING_DELAY_MS)
     .map(
       ({run, afterMs}) =>
@@ -72,7 +72,7 @@
  * revision that takes it out until the revision that brings it back is sent.
  * Revisions in between also list the zone as out.
  */
-function zonesOut(accepted: readonly Accepted[]): readonly ZoneOut[] {
+function zoneOutIntervals(accepted: readonly Accepted[]): readonly ZoneOut[] {
   const byRevision = [...accepted].sort((a, b) => a.revision - b.revision);
   const outSinceMs = new Map<string, number>();
   const outs: ZoneOut[] = [];
@@ -109,7 +109,7 @@
 }
 
 /** Time at which a process gets a signal: a frozen one gets it at the thaw. */
-function thawedAtMs(
+function signalledAtMs(
   frozen: readonly Disturbed[],
   process: string,
   atMs: number
@@ -122,12 +122,14 @@
 }
 
 function nextStartMs(history: History, process: string, atMs: number): number {
-  const starts = ofKind(history, 'started')
+  const starts = eventsOfKind(history, 'started')
     .filter(one => one.process === process && one.atMs > atMs)
     .map(one => one.atMs);
   return Math.min(Infinity, ...starts);
 }
 
 function freezes(history: History): readonly Disturbed[] {
-  return ofKind(history, 'disturbed').filter(({fault}) => fault === 'frozen');
+  return eventsOfKind(history, 'disturbed').filter(
+    ({fault}) => fault === 'frozen'
+  );
 }
--- a/bench/faults/faults.ts
+++ b/bench/faults/faults.ts
@@ -166,7 +166,7 @@
   recordFault(context, 'frozen', [name], fromMs);
 }
 
-/** Cuts the links between two processes; `other` is a prefix: `control` is all instances. */
+/** Cuts the links between process `one` and all processes whose name starts with `other`. */
 async function cut(
   context: FaultContext,
   [one, other]: readonly [string, string],
--- a/bench/faults/history.ts
+++ b/bench/faults/history.ts
@@ -109,7 +109,7 @@
 export type History = readonly FaultEvent[];
 
 /** Events of one kind. */
-export function ofKind<K extends FaultEvent['kind']>(
+export function eventsOfKind<K extends FaultEvent['kind']>(
   history: History,
   kind: K
 ): readonly Extract<FaultEvent, {readonly kind: K}>[] {
--- a/bench/faults/losses.ts
+++ b/bench/faults/losses.ts
@@ -8,7 +8,7 @@
   FaultEvent,
   History,
   Sent,
-  ofKind,
+  eventsOfKind,
 } from './history';
 
 /** Time after a fault during which its aftermath may still end calls. */
@@ -35,8 +35,8 @@
   history: History,
   cause: LossCause
 ): readonly string[] {
-  const disturbed = ofKind(history, 'disturbed');
-  const leavings = ofKind(history, 'leaving');
+  const disturbed = eventsOfKind(history, 'disturbed');
+  const leavings = eventsOfKind(history, 'leaving');
   return losses(history)
     .filter(loss => !isExplained(disturbed, loss))
     .filter(loss => causeOf(leavings, loss) === cause)
@@ -48,12 +48,14 @@
 
 /** A resend may report the loss of the key's first request, so it takes the time of that one. */
 function losses(history: History): readonly Loss[] {
-  const sent = new Map(ofKind(history, 'sent').map(one => [one.callId, one]));
+  const sent = new Map(
+    eventsOfKind(history, 'sent').map(one => [one.callId, one])
+  );
   const firstOfKey = new Map<string, number>();
   for (const {key, atMs} of sent.values())
     if (key !== undefined)
       firstOfKey.set(key, Math.min(atMs, firstOfKey.get(key) ?? atMs));
-  return ofKind(history, 'answered').flatMap(answered => {
+  return eventsOfKind(history, 'answered').flatMap(answered => {
     const call = sent.get(answered.callId);
     const detail = lossOf(answered.result);
     if (call === undefined || detail === undefined) return [];
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -8,10 +8,10 @@
 import {Deployment} from '../deployment/deployment';
 import {BUILT_PROGRAMS} from '../deployment/programs';
 import {check} from './check';
-import {leavingDelaysMs} from './checkNewWork';
+import {runDelaysAfterSigterm} from './checkNewWork';
 import {FaultRunner} from './faultRun';
 import {FAULT_SHAPE} from './faultShape';
-import {History, ofKind} from './history';
+import {History, eventsOfKind} from './history';
 
 const DEFAULT_RUNS = 10;
 
@@ -57,15 +57,17 @@
 
 /** Counts what was exercised, which reveals a pass without traffic or faults. */
 function summary(history: History): string {
-  const afterMs = leavingDelaysMs(history).map(one => one.afterMs);
-  const results = ofKind(history, 'answered').map(({result}) => result.kind);
+  const afterMs = runDelaysAfterSigterm(history).map(one => one.afterMs);
+  const results = eventsOfKind(history, 'answered').map(
+    ({result}) => result.kind
+  );
   const countOf = (kind: string) =>
     `${results.filter(one => one === kind).length} ${kind}`;
   return [
     `${results.length} calls: ${['whole', 'refused', 'broken', 'silent', 'wrong'].map(countOf).join(', ')}`,
-    `${ofKind(history, 'accepted').length} files accepted`,
-    `${ofKind(history, 'leaving').length} graceful ends; last new work at a leaving target ${Math.round(Math.max(0, ...afterMs))} ms after SIGTERM`,
-    `${ofKind(history, 'fell over').length} targets fell over`,
+    `${eventsOfKind(history, 'accepted').length} files accepted`,
+    `${eventsOfKind(history, 'leaving').length} graceful ends; last new work at a leaving target ${Math.round(Math.max(0, ...afterMs))} ms after SIGTERM`,
+    `${eventsOfKind(history, 'fell over').length} targets fell over`,
   ].join('\n');
 }
 
--- a/bench/measures/expertRun.ts
+++ b/bench/measures/expertRun.ts
@@ -11,7 +11,7 @@
 import {IncrementalPolicy, ScratchPolicy, StaticPolicy} from './expertPolicies';
 import type {WorldConfig} from './expertWorld';
 import {ExpertWorld, gaussian, WORLD} from './expertWorld';
-import {ForeseenPopularity} from './foreseenPopularity';
+import {PerfectForecast} from './foreseenPopularity';
 
 const SPARE_SLOTS = 32;
 const TICK_MS = 250;
@@ -123,7 +123,7 @@
   seed: number
 ): PlacementPolicy {
   const futureWorld = new ExpertWorld(world, new SeededRandom(seed));
-  const forecast = new ForeseenPopularity(futureWorld, TICK_MS);
+  const forecast = new PerfectForecast(futureWorld, TICK_MS);
   return new IncrementalPolicy('perfectForecast', setup, forecast);
 }
 
@@ -148,7 +148,7 @@
 }
 
 /** Outcome of a policy by name. */
-export function policyOf(run: ExpertRunOutcome, name: string): PolicyOutcome {
+export function findPolicy(run: ExpertRunOutcome, name: string): PolicyOutcome {
   const found = run.policies.find(policy => policy.name === name);
   if (found === undefined) throw new Error(`no policy ${name}`);
   return found;
--- a/bench/measures/foreseenPopularity.ts
+++ b/bench/measures/foreseenPopularity.ts
@@ -4,7 +4,7 @@
 import type {ExpertWorld} from './expertWorld';
 
 /** Forecasts by running a second world with the same seed ahead of the first. */
-export class ForeseenPopularity implements PopularityForecast {
+export class PerfectForecast implements PopularityForecast {
   readonly known = true;
   private readonly byTick: (readonly number[])[] = [];
 
--- a/bench/measures/rebalanceCost.ts
+++ b/bench/measures/rebalanceCost.ts
@@ -2,7 +2,7 @@
 
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 import type {PolicyOutcome} from './expertRun';
-import {policyOf, sharedRun} from './expertRun';
+import {findPolicy, sharedRun} from './expertRun';
 
 const MAX_BYTES_RATIO = 0.25;
 const MAX_SKEW_DIFFERENCE = 0.01;
@@ -19,7 +19,7 @@
 }
 
 /** The cheapest from-scratch policy whose skew is as low as ours. */
-function cheapestEqual(
+function cheapestWithEqualSkew(
   mine: PolicyOutcome,
   scratch: readonly PolicyOutcome[]
 ): PolicyOutcome | undefined {
@@ -33,11 +33,11 @@
   key: 'rebalanceCost',
   async run(options: MeasureOptions): Promise<MeasureResult> {
     const run = sharedRun(options);
-    const mine = policyOf(run, 'ours');
+    const mine = findPolicy(run, 'ours');
     const scratch = run.policies.filter(p => p.name.startsWith('scratch'));
     const leastBytes = Math.min(...scratch.map(p => p.bytesPerHour));
     const leastSkew = Math.min(...scratch.map(p => p.mean));
-    const rival = cheapestEqual(mine, scratch);
+    const rival = cheapestWithEqualSkew(mine, scratch);
     // Without a rival of equal skew, ours is compared with the cheapest of all.
     const bytesRatio = mine.bytesPerHour / (rival?.bytesPerHour ?? leastBytes);
     const skewOver = mine.mean - leastSkew;
--- a/bench/measures/stepTimeSkew.ts
+++ b/bench/measures/stepTimeSkew.ts
@@ -8,7 +8,7 @@
   Plot,
 } from '../measure';
 import type {ExpertRunOutcome, PolicyOutcome} from './expertRun';
-import {policyOf, sharedRun} from './expertRun';
+import {findPolicy, sharedRun} from './expertRun';
 
 const MAX_MEAN_SKEW = 1.05;
 const MAX_P99_SKEW = 1.1;
@@ -54,9 +54,9 @@
   key: 'stepTimeSkew',
   async run(options: MeasureOptions): Promise<MeasureResult> {
     const run = sharedRun(options);
-    const still = policyOf(run, 'static');
-    const mine = policyOf(run, 'ours');
-    const closer = (still.mean - 1) / (mine.mean - 1);
+    const unchanged = findPolicy(run, 'static');
+    const mine = findPolicy(run, 'ours');
+    const closer = (unchanged.mean - 1) / (mine.mean - 1);
     const ours = {...figuresOf(mine), closerThanStaticTimes: closer};
     const others = run.policies.filter(policy => policy !== mine);
     const cause = causeOf(ours, closer);
--- a/bench/measures/subsets.ts
+++ b/bench/measures/subsets.ts
@@ -213,7 +213,7 @@
 
 function failureCause(figures: Figures): string | undefined {
   const value = (name: string) => figures[name] ?? NaN;
-  const faults = [
+  const failures = [
     value('balancedLoadMostOverMean') <= MAX_LOAD_RATIO ? [] : ['load uneven'],
     value('placesMovedByTarget') <=
     MAX_MOVED_RATIO * value('placesOfThatTarget')
@@ -222,7 +222,7 @@
     value('placesMovedByEntry') === 0 ? [] : ['an entry moves places'],
     value('fewestZones') === ZONES ? [] : ['a zone is missing'],
   ].flat();
-  return faults.length === 0 ? undefined : faults.join(', ');
+  return failures.length === 0 ? undefined : failures.join(', ');
 }
 
 async function run(options: MeasureOptions): Promise<MeasureResult> {
--- a/bench/mutants.ts
+++ b/bench/mutants.ts
@@ -106,10 +106,10 @@
   let notCaught = 0;
   try {
     for (const mutant of mutants) {
-      const fault = checkMutant(dir, mutant);
-      if (fault !== undefined) notCaught++;
+      const problem = checkMutant(dir, mutant);
+      if (problem !== undefined) notCaught++;
       process.stdout.write(
-        `${fault ?? 'caught'}: ${mutant.promise}: ${mutant.safeguard}\n`
+        `${problem ?? 'caught'}: ${mutant.promise}: ${mutant.safeguard}\n`
       );
     }
   } finally {
--- a/fakes/engine/orders.ts
+++ b/fakes/engine/orders.ts
@@ -66,8 +66,8 @@
   if (cfg.refuseOldFences && order.fence < state.highestFence)
     return {kind: 'fenced', highestFence: state.highestFence};
   state.highestFence = Math.max(state.highestFence, order.fence);
-  const fault = await fetchWeights(order, cfg);
-  if (fault !== undefined) return {kind: 'failed', detail: fault};
+  const failure = await fetchWeights(order, cfg);
+  if (failure !== undefined) return {kind: 'failed', detail: failure};
   return applyOrder(state, cfg, order, nowMs);
 }
 
@@ -107,8 +107,8 @@
   }
 }
 
-function answerOf(fault: string | undefined): Answer {
-  return fault === undefined ? DONE : {kind: 'failed', detail: fault};
+function answerOf(failure: string | undefined): Answer {
+  return failure === undefined ? DONE : {kind: 'failed', detail: failure};
 }
 
 /** Fetches the weights that the order needs; returns why that failed, or undefined. */
--- a/fakes/engine/rankState.ts
+++ b/fakes/engine/rankState.ts
@@ -17,7 +17,7 @@
 }
 
 /** Why a map order failed, or undefined if it succeeded. */
-type Fault = string | undefined;
+type FailureReason = string | undefined;
 
 /** Holds before the switch step of a prepared map until the decision is known. */
 export class RankState {
@@ -52,7 +52,7 @@
     version: number,
     switchStep: number,
     slots: readonly (readonly number[])[]
-  ): Fault {
+  ): FailureReason {
     if (this.prepared !== undefined && this.prepared.version !== version)
       return `map ${this.prepared.version} is still undecided`;
     if (this.prepared !== undefined) return undefined;
@@ -63,7 +63,7 @@
     return undefined;
   }
 
-  decide(version: number, decision: 'commit' | 'abort'): Fault {
+  decide(version: number, decision: 'commit' | 'abort'): FailureReason {
     if (this.prepared?.version === version) {
       if (this.prepared.decision === 'commit' && decision === 'abort')
         return `map ${version} was committed`;
