--- a/bench/deployment/cutRelay.ts
+++ b/bench/deployment/cutRelay.ts
@@ -1,7 +1,7 @@
 /**
- * A TCP relay that can fall silent, as a network partition does: connections
- * stay open and are still accepted, and nothing comes through. What was sent
- * meanwhile arrives late, once the relay is open again.
+ * A TCP relay that simulates a network partition: while it is cut, connections
+ * stay open and new ones are accepted, but no data passes. Data sent meanwhile
+ * is delivered once the relay is healed.
  */
 
 import net, {AddressInfo, Socket} from 'node:net';
@@ -9,18 +9,18 @@
 
 const HOST = '127.0.0.1';
 
-/** Which way nothing comes through. */
+/** The direction in which no data passes. */
 export type CutDirection = 'both' | 'to server' | 'to client';
 
-interface Pair {
+interface RelayedConnection {
   readonly client: Socket;
   readonly server: Socket;
 }
 
-/** Relays connections to one port until closed. */
+/** Relays connections to one port of this machine. */
 export class CutRelay {
-  private readonly pairs = new Set<Pair>();
-  private direction: CutDirection | undefined;
+  private readonly connections = new Set<RelayedConnection>();
+  private cutDirection: CutDirection | undefined;
 
   private constructor(
     private readonly listener: net.Server,
@@ -30,7 +30,7 @@
   }
 
   static async start(toPort: number): Promise<CutRelay> {
-    // Without this a client that ends its half would lose the rest.
+    // Without this, a client that half-closes would lose the rest of the response.
     const listener = net.createServer({allowHalfOpen: true});
     const relay = new CutRelay(listener, toPort);
     await once(listener.listen(0, HOST), 'listening');
@@ -42,18 +42,18 @@
   }
 
   cut(direction: CutDirection = 'both'): void {
-    this.direction = direction;
-    for (const pair of this.pairs) this.applyTo(pair);
+    this.cutDirection = direction;
+    for (const pair of this.connections) this.applyCut(pair);
   }
 
   heal(): void {
-    this.direction = undefined;
-    for (const pair of this.pairs) this.applyTo(pair);
+    this.cutDirection = undefined;
+    for (const pair of this.connections) this.applyCut(pair);
   }
 
   close(): void {
     this.listener.close();
-    for (const {client, server} of this.pairs) {
+    for (const {client, server} of this.connections) {
       client.destroy();
       server.destroy();
     }
@@ -66,31 +66,34 @@
       allowHalfOpen: true,
     });
     const pair = {client, server};
-    this.pairs.add(pair);
+    this.connections.add(pair);
     forward(client, server);
     forward(server, client);
-    client.on('close', () => this.pairs.delete(pair));
-    this.applyTo(pair);
+    client.on('close', () => this.connections.delete(pair));
+    this.applyCut(pair);
   }
 
-  private applyTo({client, server}: Pair): void {
+  private applyCut({client, server}: RelayedConnection): void {
     setFlow(
       client,
-      this.direction === undefined || this.direction === 'to client'
+      this.cutDirection === undefined || this.cutDirection === 'to client'
     );
     setFlow(
       server,
-      this.direction === undefined || this.direction === 'to server'
+      this.cutDirection === undefined || this.cutDirection === 'to server'
     );
   }
 }
 
-function setFlow(source: Socket, flows: boolean): void {
-  if (flows) source.resume();
+function setFlow(source: Socket, isFlowing: boolean): void {
+  if (isFlowing) source.resume();
   else source.pause();
 }
 
-/** A reset passes through; a refused connection looks like one cut at once. */
+/**
+ * An error of one side destroys the other. A connection that the server refuses
+ * therefore looks to the client as if it was accepted and closed at once.
+ */
 function forward(source: Socket, sink: Socket): void {
   source.on('data', (chunk: Buffer) => sink.write(chunk));
   source.on('end', () => sink.end());
--- a/bench/faults/check.ts
+++ b/bench/faults/check.ts
@@ -1,16 +1,16 @@
-/** Judges the promises over a history; pure. */
+/** Checks a recorded history against the promises, as a pure function. */
 
-import {leavingRuns, zoneRuns} from './checkNewWork';
-import {History, Sent, ofKind} from './history';
+import {runsAtLeavingTargets, runsInZonesOut} from './checkNewWork';
+import {History, Sent, eventsOfKind} from './history';
 import {unexplainedLosses} from './losses';
 
-/** One broken promise. */
+/** One violation of a promise. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly detail: string;
 }
 
-/** Promises that a history can show broken; expert maps are in none. */
+/** Promises that a history can show to be violated; none covers expert maps. */
 export type PromiseName =
   | 'not run'
   | 'at most once'
@@ -25,35 +25,35 @@
 type Check = (history: History) => readonly string[];
 
 const CHECKS: Readonly<Record<PromiseName, Check>> = {
-  'not run': refusedButRan,
-  'at most once': ranTwice,
+  'not run': runsRefusedAsNotRun,
+  'at most once': repeatedRuns,
   'cold start': history =>
-    ofKind(history, 'fell over').map(
+    eventsOfKind(history, 'fell over').map(
       ({target}) => `${target} got more than it could bear`
     ),
-  'zone out': zoneRuns,
-  'leaving target': leavingRuns,
+  'zone out': runsInZonesOut,
+  'leaving target': runsAtLeavingTargets,
   'whole answers': history => [
-    ...wrongAnswers(history),
-    ...differingAnswers(history),
+    ...wrongResponses(history),
+    ...differingResponses(history),
     ...unexplainedLosses(history, 'steady'),
   ],
   'graceful shutdown': history => [
-    ...badExits(history),
+    ...uncleanExits(history),
     ...unexplainedLosses(history, 'shutdown'),
   ],
   'never reverts': history => [
-    ...reverts(history),
-    ...twoWinners(history),
-    ...lostFiles(history),
+    ...revertedRevisions(history),
+    ...conflictingAcceptances(history),
+    ...lostRevisions(history),
   ],
   heals: history =>
-    ofKind(history, 'settled').flatMap(({missing}) =>
+    eventsOfKind(history, 'settled').flatMap(({missing}) =>
       missing.map(what => `still wrong after the bound: ${what}`)
     ),
 };
 
-/** All violations. */
+/** All violations that the history shows. */
 export function check(history: History): readonly Violation[] {
   const promises = Object.keys(CHECKS) as readonly PromiseName[];
   return promises.flatMap(promise =>
@@ -61,14 +61,18 @@
   );
 }
 
-/** Sendings by their id. */
+/** Sent calls by call id. */
 function sentById(history: History): ReadonlyMap<string, Sent> {
-  return new Map(ofKind(history, 'sent').map(sent => [sent.callId, sent]));
+  return new Map(
+    eventsOfKind(history, 'sent').map(sent => [sent.callId, sent])
+  );
 }
 
-function refusedButRan(history: History): readonly string[] {
-  const ran = new Map(ofKind(history, 'ran').map(run => [run.callId, run]));
-  return ofKind(history, 'answered').flatMap(({callId, result}) => {
+function runsRefusedAsNotRun(history: History): readonly string[] {
+  const ran = new Map(
+    eventsOfKind(history, 'ran').map(run => [run.callId, run])
+  );
+  return eventsOfKind(history, 'answered').flatMap(({callId, result}) => {
     const run = ran.get(callId);
     if (run === undefined || result.kind !== 'refused') return [];
     if (result.outcome !== 'not run') return [];
@@ -76,11 +80,11 @@
   });
 }
 
-function ranTwice(history: History): readonly string[] {
-  const once = sentById(history);
+function repeatedRuns(history: History): readonly string[] {
+  const sent = sentById(history);
   const byKey = new Map<string, string[]>();
-  for (const {callId, key, target} of ofKind(history, 'ran')) {
-    if (key === undefined || once.get(callId)?.call !== 'once') continue;
+  for (const {callId, key, target} of eventsOfKind(history, 'ran')) {
+    if (key === undefined || sent.get(callId)?.call !== 'once') continue;
     byKey.set(key, [...(byKey.get(key) ?? []), `${callId} at ${target}`]);
   }
   return [...byKey]
@@ -90,18 +94,18 @@
     );
 }
 
-function wrongAnswers(history: History): readonly string[] {
-  return ofKind(history, 'answered').flatMap(({callId, result}) =>
+function wrongResponses(history: History): readonly string[] {
+  return eventsOfKind(history, 'answered').flatMap(({callId, result}) =>
     result.kind === 'wrong' ? [`${callId}: ${result.detail}`] : []
   );
 }
 
-/** A resend under a key gets the recorded answer. */
-function differingAnswers(history: History): readonly string[] {
+/** Keys whose resends got different bodies; a resend must get the recorded response. */
+function differingResponses(history: History): readonly string[] {
   const sent = sentById(history);
   const bodies = new Map<string, string>();
   const found: string[] = [];
-  for (const {callId, result} of ofKind(history, 'answered')) {
+  for (const {callId, result} of eventsOfKind(history, 'answered')) {
     const key = sent.get(callId)?.key;
     if (key === undefined || result.kind !== 'whole') continue;
     const known = bodies.get(key) ?? result.body ?? '';
@@ -111,9 +115,9 @@
   return found;
 }
 
-function badExits(history: History): readonly string[] {
-  const disturbed = ofKind(history, 'disturbed');
-  return ofKind(history, 'left').flatMap(({process, atMs, code}) => {
+function uncleanExits(history: History): readonly string[] {
+  const disturbed = eventsOfKind(history, 'disturbed');
+  return eventsOfKind(history, 'left').flatMap(({process, atMs, code}) => {
     const wasKilled = disturbed.some(
       one =>
         one.fault === 'stopped' &&
@@ -124,11 +128,11 @@
   });
 }
 
-/** Also across restarts: the events of one process go on after them. */
-function reverts(history: History): readonly string[] {
+/** Processes that went back to an older revision, also across their restarts. */
+function revertedRevisions(history: History): readonly string[] {
   const highest = new Map<string, number>();
   const found: string[] = [];
-  const byTime = [...ofKind(history, 'in force')].sort(
+  const byTime = [...eventsOfKind(history, 'in force')].sort(
     (a, b) => a.atMs - b.atMs
   );
   for (const {process, revision} of byTime) {
@@ -140,19 +144,19 @@
   return found;
 }
 
-function twoWinners(history: History): readonly string[] {
+function conflictingAcceptances(history: History): readonly string[] {
   const texts = new Map<number, string>();
-  return ofKind(history, 'accepted').flatMap(({revision, text}) => {
+  return eventsOfKind(history, 'accepted').flatMap(({revision, text}) => {
     const known = texts.get(revision) ?? text;
     texts.set(revision, known);
     return known === text ? [] : [`two files were accepted as ${revision}`];
   });
 }
 
-/** What is in force in the end is the last file that was accepted, or a later. */
-function lostFiles(history: History): readonly string[] {
-  const accepted = ofKind(history, 'accepted');
-  return ofKind(history, 'settled').flatMap(({atMs, revision, text}) => {
+/** The revision held in the end must be the last accepted one or a later one. */
+function lostRevisions(history: History): readonly string[] {
+  const accepted = eventsOfKind(history, 'accepted');
+  return eventsOfKind(history, 'settled').flatMap(({atMs, revision, text}) => {
     const before = accepted.filter(one => one.atMs <= atMs);
     const last = Math.max(0, ...before.map(one => one.revision));
     if (revision < last) return [`${last} was accepted, ${revision} is held`];
