--- a/bench/fuzz.ts
+++ b/bench/fuzz.ts
@@ -1,4 +1,7 @@
-/** `npm run fuzz -- --seed N --runs N [--model NAME]`: seeded schedules. */
+/**
+ * `npm run fuzz -- --seed N --runs N [--model NAME]`: checks the decision state
+ * machines under seeded schedules.
+ */
 
 import meow from 'meow';
 import type {FuzzModel} from './fuzz/fuzzModel';
@@ -26,7 +29,7 @@
   }
 );
 
-/** Runs the schedules of one model; returns whether all of them held. */
+/** Runs the schedules of one model; returns whether all of them passed. */
 function runModel(model: FuzzModel, firstSeed: number, runs: number): boolean {
   for (let seed = firstSeed; seed < firstSeed + runs; seed++) {
     try {
--- a/bench/fuzz/freshnessModel.ts
+++ b/bench/fuzz/freshnessModel.ts
@@ -1,6 +1,7 @@
 /**
- * The proof that rules are current, against what was really accepted: a model
- * of voters that hold, accept and lose revisions, and of polls that are late.
+ * Compares the proof that a process has current rules with the revisions that
+ * were really committed. The model has voters that store, commit and lose
+ * revisions, and poll replies that are late or lost.
  */
 
 import {FreshnessProof} from '../../src/sync/freshness';
@@ -10,9 +11,9 @@
 
 const VOTERS = ['control-1', 'control-2', 'control-3'];
 const MAJORITY = 2;
-const BOUND_MS = 2_500;
+const MAX_PROOF_AGE_MS = 2_500;
 const POLL_MS = 250;
-const END_MS = 20_000;
+const RUN_MS = 20_000;
 const MAX_STEPS = 20_000;
 
 interface Voter {
@@ -20,13 +21,13 @@
   revision: number;
   voting: boolean;
   up: boolean;
-  /** Cut off from the other voters, but not from the process. */
+  /** Partitioned from the other voters, but reachable for the process. */
   isolated: boolean;
 }
 
-class FreshnessWorld {
+class FreshnessSimulation {
   private readonly random: SeededRandom;
-  private readonly time: Timeline;
+  private readonly timeline: Timeline;
   private readonly voters: Voter[] = VOTERS.map(id => ({
     id,
     revision: 1,
@@ -34,46 +35,51 @@
     up: true,
     isolated: false,
   }));
-  private readonly acceptedAt: number[] = [0, 0];
-  private readonly proof = new FreshnessProof(VOTERS.length, BOUND_MS);
-  private held = 0;
+  /** Commit time of each revision; the index is the revision. */
+  private readonly committedAtMs: number[] = [0, 0];
+  private readonly proof = new FreshnessProof(VOTERS.length, MAX_PROOF_AGE_MS);
+  private appliedRevision = 0;
 
   constructor(seed: number) {
     this.random = new SeededRandom(seed);
-    this.time = new Timeline(this.random);
+    this.timeline = new Timeline(this.random);
   }
 
   run(): void {
-    this.hold(1);
+    this.applyRevision(1);
     for (const voter of this.voters) this.pollLoop(voter);
     for (let i = 0; i < 12; i++)
-      this.time.within(0, END_MS, () => this.accept());
+      this.timeline.within(0, RUN_MS, () => this.commitRevision());
     for (let i = 0; i < 5; i++)
-      this.time.within(0, END_MS, () => this.isolate());
-    for (let i = 0; i < 2; i++) this.time.within(0, END_MS, () => this.wipe());
-    this.judgeLoop();
-    this.time.runAll(MAX_STEPS);
+      this.timeline.within(0, RUN_MS, () => this.isolate());
+    for (let i = 0; i < 2; i++)
+      this.timeline.within(0, RUN_MS, () => this.wipe());
+    this.checkLoop();
+    this.timeline.runAll(MAX_STEPS);
   }
 
   private pollLoop(voter: Voter): void {
-    if (this.time.now > END_MS) return;
-    const askedAtMs = this.time.now;
-    const cut = this.random.chance(0.2);
-    if (!cut) {
-      // The instance looks at its log at some moment after it was asked.
-      this.time.within(0, 400, () => this.answer(voter, askedAtMs));
+    if (this.timeline.now > RUN_MS) return;
+    const askedAtMs = this.timeline.now;
+    const isLost = this.random.chance(0.2);
+    if (!isLost) {
+      // The instance reads its log some time after the process sent the poll.
+      this.timeline.within(0, 400, () => this.replyToPoll(voter, askedAtMs));
     }
-    this.time.within(POLL_MS - 50, POLL_MS + 50, () => this.pollLoop(voter));
+    this.timeline.within(POLL_MS - 50, POLL_MS + 50, () =>
+      this.pollLoop(voter)
+    );
   }
 
-  private answer(voter: Voter, askedAtMs: number): void {
+  private replyToPoll(voter: Voter, askedAtMs: number): void {
     if (!voter.up) {
       this.proof.add(voter.id, {kind: 'not running', askedAtMs});
       return;
     }
     const {revision, voting} = voter;
-    this.time.within(0, 3_000, () => {
-      if (revision > this.held && this.random.chance(0.7)) this.hold(revision);
+    this.timeline.within(0, 3_000, () => {
+      if (revision > this.appliedRevision && this.random.chance(0.7))
+        this.applyRevision(revision);
       this.proof.add(voter.id, {
         kind: 'answered',
         askedAtMs,
@@ -84,69 +90,72 @@
     });
   }
 
-  private hold(revision: number): void {
-    this.held = revision;
+  private applyRevision(revision: number): void {
+    this.appliedRevision = revision;
     this.proof.hold(revision);
   }
 
-  /** A change is accepted once a majority of voters has it. */
-  private accept(): void {
-    const able = this.voters.filter(
+  /** A revision is committed once a majority of voters stores it. */
+  private commitRevision(): void {
+    const available = this.voters.filter(
       one => one.up && one.voting && !one.isolated
     );
-    if (able.length < MAJORITY) return;
-    const next = this.acceptedAt.length;
-    const copies =
-      able.length > MAJORITY && this.random.chance(0.5) ? able.slice(1) : able;
-    for (const voter of copies) voter.revision = next;
-    this.acceptedAt.push(this.time.now);
+    if (available.length < MAJORITY) return;
+    const next = this.committedAtMs.length;
+    const holders =
+      available.length > MAJORITY && this.random.chance(0.5)
+        ? available.slice(1)
+        : available;
+    for (const voter of holders) voter.revision = next;
+    this.committedAtMs.push(this.timeline.now);
   }
 
   private isolate(): void {
     const voter = this.random.pick(this.voters);
     voter.isolated = true;
-    this.time.within(100, 6_000, () => {
+    this.timeline.within(100, 6_000, () => {
       voter.isolated = false;
-      if (voter.up && voter.voting) voter.revision = this.acceptedAt.length - 1;
+      if (voter.up && voter.voting)
+        voter.revision = this.committedAtMs.length - 1;
     });
   }
 
-  /** Loses its disk: no vote until it holds all that was accepted. */
+  /** A voter that loses its disk must not vote before it has caught up. */
   private wipe(): void {
     if (this.voters.some(one => !one.voting || one.isolated)) return;
     const voter = this.random.pick(this.voters);
     voter.voting = false;
     voter.revision = 0;
-    this.time.within(100, 3_000, () => {
-      voter.revision = this.acceptedAt.length - 1;
+    this.timeline.within(100, 3_000, () => {
+      voter.revision = this.committedAtMs.length - 1;
       voter.voting = true;
     });
   }
 
-  private judgeLoop(): void {
-    if (this.time.now > END_MS) return;
-    this.judge();
-    this.time.within(20, 120, () => this.judgeLoop());
+  private checkLoop(): void {
+    if (this.timeline.now > RUN_MS) return;
+    this.checkProof();
+    this.timeline.within(20, 120, () => this.checkLoop());
   }
 
-  private judge(): void {
-    const verdict = this.proof.judge(this.time.now);
-    if (verdict.kind !== 'proven') return;
-    const provenAtMs = this.time.now - verdict.ageMs;
-    const newer = this.acceptedAt.findIndex(
-      (at, revision) => revision > this.held && at < provenAtMs
+  private checkProof(): void {
+    const status = this.proof.judge(this.timeline.now);
+    if (status.kind !== 'proven') return;
+    const provenAtMs = this.timeline.now - status.ageMs;
+    const newer = this.committedAtMs.findIndex(
+      (at, revision) => revision > this.appliedRevision && at < provenAtMs
     );
     if (newer < 0) return;
     throw new Error(
-      `revision ${this.held} was proven current at ${provenAtMs} ms, but ${newer} was accepted at ${this.acceptedAt[newer]} ms`
+      `revision ${this.appliedRevision} was proven current at ${provenAtMs} ms, but revision ${newer} was committed at ${this.committedAtMs[newer]} ms`
     );
   }
 }
 
-/** A proof is never given for rules that had been replaced. */
+/** Checks that replaced rules are never proven current. */
 export const FRESHNESS_MODEL: FuzzModel = {
   name: 'freshness',
   run(seed) {
-    new FreshnessWorld(seed).run();
+    new FreshnessSimulation(seed).run();
   },
 };
--- a/bench/fuzz/fuzzModel.ts
+++ b/bench/fuzz/fuzzModel.ts
@@ -1,8 +1,8 @@
-/** What a model gives the fuzz command. */
+/** Interface between the fuzz command and its models. */
 
-/** One decision state machine under seeded schedules. */
+/** Runs one decision state machine under seeded schedules. */
 export interface FuzzModel {
   readonly name: string;
-  /** Runs one schedule; throws with what was seen when a promise broke. */
+  /** Runs one schedule; throws an error that names the violated invariant. */
   run(seed: number): void;
 }
--- a/bench/fuzz/lockStepEngine.ts
+++ b/bench/fuzz/lockStepEngine.ts
@@ -1,4 +1,4 @@
-/** An engine of a rank as the map model sees it: a step counter and a barrier. */
+/** Engine of one rank in the map model: counts passes and pauses for switches. */
 
 import type {
   EngineView,
@@ -9,26 +9,29 @@
 /** Orders from the agent. */
 export type EngineOrder = Exclude<RankAction, {kind: 'send'}>;
 
-/** Answers to the agent. */
+/** Replies to the agent. */
 export type EngineAnswer = Extract<RankEvent, {kind: 'prepared' | 'started'}>;
 
-interface Held {
+interface PendingSwitch {
   readonly version: number;
   readonly switchStep: number;
   readonly committed: boolean;
 }
 
-/** Keeps its step over a restart: the group waits for it at that step. */
+/**
+ * Keeps its pass count over a restart, as the other ranks of the group wait for
+ * it at that pass.
+ */
 export class LockStepEngine {
   boot = 1;
   up = true;
   running = false;
   step = 0;
   private version = 0;
-  private held?: Held;
+  private pendingSwitch?: PendingSwitch;
   private highestFence = 0;
 
-  /** An engine without `fencing` takes orders of any fence. */
+  /** An engine without `fencing` accepts orders with any fencing token. */
   constructor(private readonly fencing: boolean) {}
 
   stop(): void {
@@ -41,50 +44,51 @@
     this.boot++;
     this.running = false;
     this.version = 0;
-    this.held = undefined;
+    this.pendingSwitch = undefined;
     this.highestFence = 0;
   }
 
   view(): EngineView {
-    const waits = this.held !== undefined && !this.held.committed;
+    const isUndecided =
+      this.pendingSwitch !== undefined && !this.pendingSwitch.committed;
     return {
       bootId: `${this.boot}`,
       running: this.running,
       step: this.step,
       mapVersion: this.version,
-      preparedVersion: waits ? this.held?.version : undefined,
+      preparedVersion: isUndecided ? this.pendingSwitch?.version : undefined,
     };
   }
 
   take(order: EngineOrder, loadFails: boolean): EngineAnswer | undefined {
     if (!this.up) return undefined;
-    if (!this.accepts(order)) return this.refuse(order);
+    if (!this.advanceFence(order)) return this.rejectStale(order);
     switch (order.kind) {
       case 'startEngine':
-        return this.begin(order);
+        return this.startRunning(order);
       case 'prepareEngine':
         return this.prepare(order, loadFails);
       case 'decideEngine':
-        return this.decide(order);
-      // Weights beside those in use change nothing here but the fence.
+        return this.applyDecision(order);
+      // Staged weights are not in use: only the fencing token matters here.
       case 'stageEngine':
         return undefined;
     }
   }
 
-  /** Runs the next step if it may, and returns the version it ran with. */
+  /** Runs the next pass unless it must pause; returns its map version. */
   runStep(): number | undefined {
     if (!this.up || !this.running) return undefined;
-    if (this.held && this.step >= this.held.switchStep) {
-      if (!this.held.committed) return undefined;
-      this.version = this.held.version;
-      this.held = undefined;
+    if (this.pendingSwitch && this.step >= this.pendingSwitch.switchStep) {
+      if (!this.pendingSwitch.committed) return undefined;
+      this.version = this.pendingSwitch.version;
+      this.pendingSwitch = undefined;
     }
     this.step++;
     return this.version;
   }
 
-  private accepts(order: EngineOrder): boolean {
+  private advanceFence(order: EngineOrder): boolean {
     if (!this.fencing) return true;
     const fence = fenceOf(order);
     if (fence < this.highestFence) return false;
@@ -92,22 +96,23 @@
     return true;
   }
 
-  private refuse(order: EngineOrder): EngineAnswer | undefined {
+  private rejectStale(order: EngineOrder): EngineAnswer | undefined {
     if (order.kind !== 'prepareEngine') return undefined;
     const {version} = order.order;
     const result = 'failed';
     return {kind: 'prepared', bootId: `${this.boot}`, version, result};
   }
 
-  private begin(
+  private startRunning(
     order: Extract<EngineOrder, {kind: 'startEngine'}>
   ): EngineAnswer {
     const {current, previous} = order;
     if (!this.running) {
       this.running = true;
-      const ahead = this.step < current.switchStep;
-      this.version = (ahead ? previous?.version : current.version) ?? 0;
-      if (ahead) this.held = {...current, committed: true};
+      const isBeforeSwitch = this.step < current.switchStep;
+      this.version =
+        (isBeforeSwitch ? previous?.version : current.version) ?? 0;
+      if (isBeforeSwitch) this.pendingSwitch = {...current, committed: true};
     }
     return {kind: 'started', bootId: `${this.boot}`};
   }
@@ -120,17 +125,18 @@
     const answer = {kind: 'prepared', bootId: `${this.boot}`, version} as const;
     if (!this.running || loadFails) return {...answer, result: 'failed'};
     if (this.step >= switchStep) return {...answer, result: 'passed'};
-    this.held = {version, switchStep, committed: false};
+    this.pendingSwitch = {version, switchStep, committed: false};
     return {...answer, result: 'held'};
   }
 
-  private decide(
+  private applyDecision(
     order: Extract<EngineOrder, {kind: 'decideEngine'}>
   ): undefined {
-    if (this.held?.version !== order.id.version) return;
-    if (order.decision === 'abort' && !this.held.committed)
-      this.held = undefined;
-    else if (this.held) this.held = {...this.held, committed: true};
+    if (this.pendingSwitch?.version !== order.id.version) return;
+    if (order.decision === 'abort' && !this.pendingSwitch.committed)
+      this.pendingSwitch = undefined;
+    else if (this.pendingSwitch)
+      this.pendingSwitch = {...this.pendingSwitch, committed: true};
   }
 }
 
--- a/bench/fuzz/logHistory.ts
+++ b/bench/fuzz/logHistory.ts
@@ -1,4 +1,4 @@
-/** Records what instances of the log did, and checks its promises over it. */
+/** Records what the instances of the log do and checks the Raft invariants. */
 
 import type {
   Configuration,
@@ -10,12 +10,12 @@
 import type {CoreReply, CoreRequest} from '../../src/control/log/messages';
 import {lastIndexOf, type MemoryDisk} from './memoryDisk';
 
-/** A promise that did not hold. */
-export class BrokenPromise extends Error {}
+/** Thrown when an invariant of the log is violated. */
+export class InvariantViolation extends Error {}
 
-/** Everything committed, accepted, voted and elected in one schedule. */
+/** Commits, accepted proposals, votes and elections of one schedule. */
 export class LogHistory {
-  /** Committed entries, the first one at 0. */
+  /** Committed entries; the entry with log index 1 is at position 0. */
   readonly committed: LogEntry[] = [];
   /** The last committed configuration. */
   configuration: Configuration = {voters: []};
@@ -35,34 +35,42 @@
     return this.committed.length;
   }
 
-  /** All applied sequences must be prefixes of one another. */
-  onApplied(id: string, entry: LogEntry, inForce: Configuration): void {
-    const known = this.committed[entry.index - 1];
-    if (known !== undefined) {
-      if (JSON.stringify(known) !== JSON.stringify(entry))
-        throw new BrokenPromise(
-          `${id} applied ${JSON.stringify(entry)}, others ${JSON.stringify(known)}`
+  /** All instances must apply the same entries in the same order. */
+  onApplied(
+    id: string,
+    entry: LogEntry,
+    activeConfiguration: Configuration
+  ): void {
+    const earlier = this.committed[entry.index - 1];
+    if (earlier !== undefined) {
+      if (JSON.stringify(earlier) !== JSON.stringify(entry))
+        throw new InvariantViolation(
+          `${id} applied ${JSON.stringify(entry)}, another instance ${JSON.stringify(earlier)}`
         );
       return;
     }
     if (entry.index !== this.committed.length + 1)
-      throw new BrokenPromise(`${id} applied ${entry.index} with a gap`);
+      throw new InvariantViolation(
+        `${id} applied entry ${entry.index} after a gap`
+      );
     this.committed.push(entry);
-    this.assertOnQuorum(entry, inForce);
+    this.assertOnQuorum(entry, activeConfiguration);
     if (entry.body.kind === 'configuration') {
       this.replacedCount++;
       this.configuration = entry.body.configuration;
     }
   }
 
-  /** A restored state must be that of the committed entries. */
+  /** A restored snapshot must equal the state after the committed entries. */
   onRestored(id: string, index: number, data: string): void {
     this.installedCount++;
     if (index > this.committed.length || data !== this.stateAt(index))
-      throw new BrokenPromise(`${id} restored another state at ${index}`);
+      throw new InvariantViolation(
+        `${id} restored a state at ${index} that differs from the committed entries`
+      );
   }
 
-  /** The state machine's snapshot at an index. */
+  /** Snapshot of the state machine after the entry at an index. */
   stateAt(index: number): string {
     return JSON.stringify(
       this.committed
@@ -75,57 +83,66 @@
     );
   }
 
-  /** A proposal's caller was told that it is committed at `index`. */
+  /** Called when a proposer learns that its command is committed at `index`. */
   onAccepted(holder: string, index: number): void {
     const body = this.committed[index - 1]?.body;
-    const stands =
+    const isCommitted =
       body?.kind === 'command' &&
       body.command.kind === 'fence' &&
       body.command.holder === holder;
-    if (!stands)
-      throw new BrokenPromise(`${holder} was accepted but is not at ${index}`);
+    if (!isCommitted)
+      throw new InvariantViolation(
+        `the proposal of ${holder} was reported as committed at ${index}, but is not there`
+      );
     this.acceptedCount++;
   }
 
-  /** A barrier covers all that anyone had seen when it was asked for. */
+  /** A read barrier must cover everything committed before it was requested. */
   onBarrier(id: string, index: number, committedBefore: number): void {
     this.barrierCount++;
     if (index < committedBefore)
-      throw new BrokenPromise(
-        `barrier at ${id} gave ${index}, ${committedBefore} was committed before`
+      throw new InvariantViolation(
+        `read barrier at ${id} returned index ${index}, but ${committedBefore} was committed before it`
       );
   }
 
   /**
-   * At most one leader a term in one group. A founder that is wiped before
-   * its group committed anything leaves that group for dead and founds
-   * another; that only one of them commits is seen by what is applied.
+   * At most one leader per term in one group. A founder that loses its disk
+   * before its group has committed anything abandons that group and founds
+   * another. `onApplied` detects it when more than one of them commits.
    */
   onElected(incarnation: string, group: string, term: number): void {
     const key = `${group} ${term}`;
-    const other = this.leaders.get(key) ?? incarnation;
-    if (other !== incarnation) throw new BrokenPromise(`two leaders: ${key}`);
+    const knownLeader = this.leaders.get(key) ?? incarnation;
+    if (knownLeader !== incarnation)
+      throw new InvariantViolation(`two leaders in group and term ${key}`);
     this.leaders.set(key, incarnation);
     this.electedCount++;
   }
 
   /**
-   * What an answer vouches for must be durable at the one that gives it. An
-   * answer of an earlier term may come after a later leader has replaced the
-   * entries, like one that the network held back (seed 305012).
+   * A vote or an acknowledged entry must be durable at the instance that sends
+   * the reply. A reply of an earlier term may still be sent after a later leader
+   * has replaced the entries; it is like one that the network delayed
+   * (seed 305012).
    */
   onReply(request: CoreRequest, reply: CoreReply, disk: MemoryDisk): void {
     if (disk.durable === undefined)
-      throw new BrokenPromise('an empty disk vouched for something');
+      throw new InvariantViolation(
+        'an instance replied with nothing on its disk'
+      );
     if (reply.kind === 'vote') this.onVote(request, reply, disk.durable);
     if (reply.kind === 'progress' && reply.ok)
-      if (disk.lengthIn(reply.term) < reply.matchIndex)
-        throw new BrokenPromise(
-          `${reply.incarnation} vouched for unsynced ${reply.matchIndex}`
+      if (disk.longestLogIn(reply.term) < reply.matchIndex)
+        throw new InvariantViolation(
+          `${reply.incarnation} acknowledged index ${reply.matchIndex} before it was synced`
         );
   }
 
-  /** One member at a time, and a new one holds all that was committed. */
+  /**
+   * A change adds or removes a single voter, and an added voter must already
+   * hold all committed entries.
+   */
   onConfigurationProposed(next: Configuration): void {
     const before = this.configuration.voters;
     if (before.length === 0) return;
@@ -134,45 +151,55 @@
     const added = next.voters.filter(v => !has(before, v.incarnation));
     const removed = before.filter(v => !has(next.voters, v.incarnation));
     if (added.length + removed.length !== 1)
-      throw new BrokenPromise(
-        `${added.length} members in and ${removed.length} out at once`
+      throw new InvariantViolation(
+        `one change adds ${added.length} voters and removes ${removed.length}`
       );
     for (const voter of added) {
       const disk = this.diskOf(voter.id);
       if (disk?.hard.incarnation === voter.incarnation)
-        this.assertWhole(voter.id, disk);
+        this.assertHoldsCommitted(voter.id, disk);
     }
   }
 
   /**
-   * Synced on a quorum of the last configuration in the leader's log, or of
-   * the one before, should this very commit have let it propose the next.
+   * A committed entry must be synced on a quorum of the last configuration in
+   * the leader's log. The configuration before it counts too, as this commit
+   * may just have allowed the leader to propose the next one.
    */
-  private assertOnQuorum(entry: LogEntry, inForce: Configuration): void {
-    const held = [inForce, this.configuration].some(({voters}) => {
-      const holders = voters.filter(voter => this.mayHold(voter, entry.index));
-      return holders.length >= quorumOf(voters.length);
-    });
-    if (!held)
-      throw new BrokenPromise(`${entry.index} was committed without a quorum`);
+  private assertOnQuorum(
+    entry: LogEntry,
+    activeConfiguration: Configuration
+  ): void {
+    const isOnQuorum = [activeConfiguration, this.configuration].some(
+      ({voters}) => {
+        const holders = voters.filter(voter =>
+          this.mayHoldEntry(voter, entry.index)
+        );
+        return holders.length >= quorumOf(voters.length);
+      }
+    );
+    if (!isOnQuorum)
+      throw new InvariantViolation(
+        `entry ${entry.index} was committed without a quorum`
+      );
   }
 
-  /** False only when that incarnation's disk is there and lacks the entry. */
-  private mayHold({id, incarnation}: Voter, index: number): boolean {
+  /** False only if the disk of this incarnation exists and lacks the entry. */
+  private mayHoldEntry({id, incarnation}: Voter, index: number): boolean {
     const disk = this.diskOf(id);
     if (disk?.hard.incarnation !== incarnation) return true;
     return lastIndexOf(disk) >= index;
   }
 
-  private assertWhole(id: string, disk: DurableState): void {
-    const whole = this.committed.every(
+  private assertHoldsCommitted(id: string, disk: DurableState): void {
+    const holdsAll = this.committed.every(
       entry =>
         entry.index <= disk.base.index ||
         disk.entries[entry.index - disk.base.index - 1]?.term === entry.term
     );
-    if (!whole)
-      throw new BrokenPromise(
-        `${id} got a vote without all that was committed`
+    if (!holdsAll)
+      throw new InvariantViolation(
+        `${id} became a voter without all committed entries`
       );
   }
 
@@ -184,14 +211,18 @@
     if (!reply.granted || reply.preVote || request.kind !== 'vote') return;
     const candidate = request.fromIncarnation;
     const {term, votedFor} = disk.hard;
-    const durable =
+    const isDurable =
       term > request.term || (term === request.term && votedFor === candidate);
-    if (!durable)
-      throw new BrokenPromise(`${reply.incarnation} gave an unsynced vote`);
+    if (!isDurable)
+      throw new InvariantViolation(
+        `${reply.incarnation} granted a vote before it was synced`
+      );
     const key = `${reply.incarnation} ${request.term}`;
-    const other = this.votes.get(key) ?? candidate;
-    if (other !== candidate)
-      throw new BrokenPromise(`${reply.incarnation} voted twice`);
+    const earlierCandidate = this.votes.get(key) ?? candidate;
+    if (earlierCandidate !== candidate)
+      throw new InvariantViolation(
+        `${reply.incarnation} voted for two candidates in one term`
+      );
     this.votes.set(key, candidate);
   }
 }
--- a/bench/fuzz/logInstance.ts
+++ b/bench/fuzz/logInstance.ts
@@ -1,4 +1,4 @@
-/** One instance in the fuzz model: the core, a disk and a state machine. */
+/** One instance in the log model: Raft core, disk and state machine. */
 
 import type {
   CoreEffect,
@@ -10,16 +10,16 @@
 import type {CoreReply, CoreRequest} from '../../src/control/log/messages';
 import {RaftCore} from '../../src/control/log/raftCore';
 import type {LogStatus} from '../../src/control/log/replicatedLog';
-import {BrokenPromise, type LogHistory} from './logHistory';
+import {InvariantViolation, type LogHistory} from './logHistory';
 import {MemoryDisk} from './memoryDisk';
 import type {SeededRandom} from './schedule';
 
-/** What travels between instances. */
+/** Messages between instances. */
 export type LogMessage =
   | {readonly kind: 'request'; readonly message: CoreRequest}
   | {readonly kind: 'reply'; readonly message: CoreReply};
 
-/** Sizes that make snapshots and catch-up happen within a short schedule. */
+/** Small limits that cause snapshots and catch-up in a short schedule. */
 export interface LogSizes {
   readonly snapshotEntries: number;
   readonly trailingEntries: number;
@@ -29,8 +29,8 @@
   readonly syncMs: number;
 }
 
-/** The world around an instance. */
-export interface LogWorld {
+/** Clock, network and history that all instances share. */
+export interface LogEnvironment {
   readonly ids: readonly string[];
   readonly random: SeededRandom;
   readonly history: LogHistory;
@@ -40,27 +40,32 @@
   send(from: string, to: string, message: LogMessage): void;
 }
 
-/** Crashes, restarts, pauses and wipes like a process with its disk. */
+/** Can crash, restart, pause and lose its disk like a real process. */
 export class LogInstance {
   readonly disk = new MemoryDisk();
   private core: RaftCore | undefined;
   private paused = false;
   private backlog: CoreEvent[] = [];
-  /** Raised by effects, handled after them. */
+  /** Events that effects raise; handled after the effects. */
   private deferred: CoreEvent[] = [];
   private incarnations = 0;
+  /** Last ticket; requests, proposals and read barriers share the counter. */
   private tickets = 0;
+  /** State of the state machine: the holder of each applied fence command. */
   private holders: string[] = [];
   private appliedIndex = 0;
   private snapshotIndex = 0;
   private requests = new Map<number, CoreRequest>();
+  /** Proposed holder by ticket. */
   private proposals = new Map<number, string>();
-  private placed = new Map<number, string>();
+  /** Proposed holder by the log index of its entry. */
+  private holderByIndex = new Map<number, string>();
+  /** Committed index at the time of the read barrier, by ticket. */
   private barriers = new Map<number, number>();
 
   constructor(
     readonly id: string,
-    private readonly world: LogWorld
+    private readonly environment: LogEnvironment
   ) {}
 
   get isUp(): boolean {
@@ -82,20 +87,20 @@
     this.holders = snapshot === undefined ? [] : JSON.parse(snapshot.data);
     this.appliedIndex = snapshot?.index ?? 0;
     this.snapshotIndex = this.appliedIndex;
-    this.forget();
+    this.clearPending();
     this.core = new RaftCore(
       this.options(),
       this.disk.durable,
-      this.world.now()
+      this.environment.now()
     );
   }
 
-  /** The process dies; a part of the unsynced writes may have got through. */
+  /** The process dies; some of its unsynced writes may have become durable. */
   crash(): void {
     this.core = undefined;
     this.paused = false;
     this.backlog = [];
-    this.disk.crash(this.world.random.int(0, 4));
+    this.disk.crash(this.environment.random.int(0, 4));
   }
 
   /** The process dies and its disk is lost. */
@@ -108,12 +113,12 @@
     this.paused = this.isUp;
   }
 
-  /** What came meanwhile is handled in order, with the clock gone on. */
+  /** Handles the events of the pause in order, at the present time. */
   resume(): void {
     this.paused = false;
-    const waiting = this.backlog;
+    const events = this.backlog;
     this.backlog = [];
-    for (const event of waiting) this.step(event);
+    for (const event of events) this.step(event);
   }
 
   step(event: CoreEvent): void {
@@ -123,7 +128,7 @@
       return;
     }
     const {core} = this;
-    for (const effect of core.step(event, this.world.now())) {
+    for (const effect of core.step(event, this.environment.now())) {
       if (this.core !== core) return;
       this.perform(core, effect);
     }
@@ -133,7 +138,7 @@
 
   syncDisk(): void {
     if (this.core === undefined) return;
-    const seq = this.disk.sync(this.world.now());
+    const seq = this.disk.sync(this.environment.now());
     if (seq !== undefined) this.step({kind: 'synced', seq});
   }
 
@@ -152,17 +157,17 @@
 
   readBarrier(): void {
     const ticket = ++this.tickets;
-    this.barriers.set(ticket, this.world.history.committedIndex);
+    this.barriers.set(ticket, this.environment.history.committedIndex);
     this.step({kind: 'readBarrier', ticket});
   }
 
   private options(): CoreOptions {
-    const {ids, random, sizes} = this.world;
+    const {ids, random, sizes} = this.environment;
     return {
       id: this.id,
       peerIds: () => ids.filter(id => id !== this.id),
       random: () => random.next(),
-      timing: this.world.timing,
+      timing: this.environment.timing,
       batchEntries: sizes.batchEntries,
       batchChars: sizes.batchChars,
       chunkChars: sizes.chunkChars,
@@ -176,22 +181,22 @@
     return {hard: {incarnation, term: 0, mayFound}, base, entries: []};
   }
 
-  private forget(): void {
+  private clearPending(): void {
     this.deferred = [];
     this.requests.clear();
     this.proposals.clear();
-    this.placed.clear();
+    this.holderByIndex.clear();
     this.barriers.clear();
   }
 
   private perform(core: RaftCore, effect: CoreEffect): void {
-    const {world} = this;
+    const {environment} = this;
     switch (effect.kind) {
       case 'persist':
         return this.persist(core, effect);
       case 'send': {
         const {message} = effect;
-        return world.send(this.id, effect.to, {kind: 'request', message});
+        return environment.send(this.id, effect.to, {kind: 'request', message});
       }
       case 'reply':
         return this.reply(effect.ticket, effect.message);
@@ -200,16 +205,19 @@
       case 'restore':
         return this.restore(effect.snapshot);
       case 'proposed':
-        this.placed.set(effect.index, this.proposals.get(effect.ticket) ?? '');
+        this.holderByIndex.set(
+          effect.index,
+          this.proposals.get(effect.ticket) ?? ''
+        );
         return;
       case 'refused':
         return;
       case 'readReady':
-        return this.barrierDone(effect.ticket, effect.index);
+        return this.onReadReady(effect.ticket, effect.index);
       case 'elected':
         return this.elected(effect.term);
       case 'leadershipLost':
-        return this.placed.clear();
+        return this.holderByIndex.clear();
       case 'rejoin':
         this.wipe();
         return this.boot(false);
@@ -218,23 +226,24 @@
 
   private elected(term: number): void {
     const {incarnation = '', group = ''} = this.disk.durable?.hard ?? {};
-    this.world.history.onElected(incarnation, group, term);
+    this.environment.history.onElected(incarnation, group, term);
   }
 
   private persist(
     core: RaftCore,
     effect: Extract<CoreEffect, {kind: 'persist'}>
   ): void {
-    const {world} = this;
-    const due = world.now() + world.random.int(0, world.sizes.syncMs);
-    this.disk.write(effect.seq, effect.writes, due);
+    const {environment} = this;
+    const dueAt =
+      environment.now() + environment.random.int(0, environment.sizes.syncMs);
+    this.disk.write(effect.seq, effect.writes, dueAt);
     const {role, term} = core.status();
     if (role !== 'leader') return;
     for (const write of effect.writes) {
       if (write.kind !== 'append') continue;
       for (const entry of write.entries)
         if (entry.term === term && entry.body.kind === 'configuration')
-          world.history.onConfigurationProposed(entry.body.configuration);
+          environment.history.onConfigurationProposed(entry.body.configuration);
     }
   }
 
@@ -242,30 +251,32 @@
     const request = this.requests.get(ticket);
     if (request === undefined) return;
     this.requests.delete(ticket);
-    this.world.history.onReply(request, message, this.disk);
-    this.world.send(this.id, request.from, {kind: 'reply', message});
+    this.environment.history.onReply(request, message, this.disk);
+    this.environment.send(this.id, request.from, {kind: 'reply', message});
   }
 
   private apply(core: RaftCore, entries: readonly LogEntry[]): void {
-    const inForce = {voters: core.status().voters};
+    const activeConfiguration = {voters: core.status().voters};
     for (const entry of entries) {
       if (entry.index !== this.appliedIndex + 1)
-        throw new BrokenPromise(`${this.id} skipped to ${entry.index}`);
+        throw new InvariantViolation(
+          `${this.id} skipped entries before ${entry.index}`
+        );
       this.appliedIndex = entry.index;
-      this.world.history.onApplied(this.id, entry, inForce);
+      this.environment.history.onApplied(this.id, entry, activeConfiguration);
       if (entry.body.kind === 'command' && entry.body.command.kind === 'fence')
         this.holders.push(entry.body.command.holder);
-      const holder = this.placed.get(entry.index);
+      const holder = this.holderByIndex.get(entry.index);
       if (holder !== undefined)
-        this.world.history.onAccepted(holder, entry.index);
-      this.placed.delete(entry.index);
+        this.environment.history.onAccepted(holder, entry.index);
+      this.holderByIndex.delete(entry.index);
     }
     this.snapshotIfDue();
   }
 
   private snapshotIfDue(): void {
-    const grown = this.appliedIndex - this.snapshotIndex;
-    if (grown < this.world.sizes.snapshotEntries) return;
+    const entriesSinceSnapshot = this.appliedIndex - this.snapshotIndex;
+    if (entriesSinceSnapshot < this.environment.sizes.snapshotEntries) return;
     this.snapshotIndex = this.appliedIndex;
     const data = JSON.stringify(this.holders);
     const index = this.appliedIndex;
@@ -276,18 +287,20 @@
     readonly index: number;
     readonly data: string;
   }): void {
-    this.world.history.onRestored(this.id, snapshot.index, snapshot.data);
+    this.environment.history.onRestored(this.id, snapshot.index, snapshot.data);
     this.holders = JSON.parse(snapshot.data);
     this.appliedIndex = snapshot.index;
     this.snapshotIndex = snapshot.index;
   }
 
-  private barrierDone(ticket: number, index: number): void {
-    const before = this.barriers.get(ticket);
+  private onReadReady(ticket: number, index: number): void {
+    const committedBefore = this.barriers.get(ticket);
     this.barriers.delete(ticket);
-    if (before === undefined) return;
-    this.world.history.onBarrier(this.id, index, before);
+    if (committedBefore === undefined) return;
+    this.environment.history.onBarrier(this.id, index, committedBefore);
     if (this.appliedIndex < index)
-      throw new BrokenPromise(`${this.id} read at ${index} before applying it`);
+      throw new InvariantViolation(
+        `${this.id} finished a read barrier before it applied index ${index}`
+      );
   }
 }
--- a/bench/fuzz/logModel.ts
+++ b/bench/fuzz/logModel.ts
@@ -1,30 +1,32 @@
 /**
- * The replicated log under seeded schedules: late, reordered, lost and doubled
- * messages, cuts in one or both directions, crashes that lose unsynced writes,
- * pauses, lost disks, two of these at once. Then everything is healed, and
- * every instance must vote again and hold all that was accepted.
+ * The replicated log under seeded schedules: late, reordered, lost and
+ * duplicated messages, partitions in one or both directions, crashes that lose
+ * unsynced writes, pauses, lost disks, also two of these at once. Afterwards
+ * all faults end, and every instance must be a voter again and hold all
+ * committed entries.
  */
 
 import type {LogTiming} from '../../src/control/log/coreEvents';
 import {DEFAULT_TIMING} from '../../src/control/log/coreEvents';
 import type {FuzzModel} from './fuzzModel';
-import {BrokenPromise, LogHistory} from './logHistory';
-import type {LogMessage, LogSizes, LogWorld} from './logInstance';
+import {InvariantViolation, LogHistory} from './logHistory';
+import type {LogMessage, LogSizes, LogEnvironment} from './logInstance';
 import {LogInstance} from './logInstance';
 import {Network, SeededRandom} from './schedule';
 
 const STEP_MS = 5;
 const TICK_MS = 25;
 const FAULTS_MS = 30_000;
-/** Longest quiet start, long enough for a first leader. */
-const QUIET_MS = 3000;
-/** Virtual time after healing within which all must be whole again. */
-const HEAL_MS = 30_000;
-const STRAGGLE_MS = 4000;
-const RETRY_MS = 500;
+/** Longest start without faults: enough to elect a first leader. */
+const MAX_QUIET_START_MS = 3000;
+/** Virtual time after the last fault in which the cluster must recover. */
+const RECOVERY_TIMEOUT_MS = 30_000;
+/** Largest delay of a message that is chosen to be late. */
+const MAX_LATE_MS = 4000;
+const PROPOSAL_RETRY_MS = 500;
 
 /** A group of instances in virtual time. */
-export class LogCluster implements LogWorld {
+export class LogCluster implements LogEnvironment {
   readonly history = new LogHistory(id => this.instances.get(id)?.disk.durable);
   readonly random: SeededRandom;
   readonly ids: readonly string[];
@@ -32,12 +34,12 @@
   readonly timing: LogTiming;
   readonly instances: ReadonlyMap<string, LogInstance>;
   private readonly network: Network<LogMessage>;
-  /** Ids whose disk was lost and is not yet replaced. */
-  private readonly lost = new Set<string>();
-  /** Share of messages that get lost until all is healed. */
-  private drop: number;
-  /** Share of messages that come seconds late until all is healed. */
-  private straggle: number;
+  /** Instances whose disk was lost and whose new incarnation has no vote yet. */
+  private readonly lostDisks = new Set<string>();
+  /** Share of messages that are lost while there are faults. */
+  private dropChance: number;
+  /** Share of messages that are seconds late while there are faults. */
+  private lateChance: number;
   private readonly delayMs: number;
   private readonly faults: {
     maxDelayMs: number;
@@ -60,12 +62,12 @@
       chunkChars: random.pick([200, 2000]),
       syncMs: random.pick([0, 10, 60]),
     };
-    this.drop = random.pick([0, 0.02, 0.15]);
-    this.straggle = random.pick([0, 0, 0.02, 0.1]);
+    this.dropChance = random.pick([0, 0.02, 0.15]);
+    this.lateChance = random.pick([0, 0, 0.02, 0.1]);
     this.delayMs = random.pick([5, 40, 150]);
     this.timing = {
       ...DEFAULT_TIMING,
-      // Safety must not hang on how soon an old leader steps down.
+      // Safety must not depend on how soon an old leader steps down.
       checkQuorumMs: random.pick([DEFAULT_TIMING.checkQuorumMs, 6000]),
     };
     this.faults = {
@@ -84,87 +86,91 @@
   }
 
   send(from: string, to: string, message: LogMessage): void {
-    if (this.random.chance(this.drop)) return;
-    const late = this.random.chance(this.straggle);
-    this.faults.maxDelayMs = late ? STRAGGLE_MS : this.delayMs;
+    if (this.random.chance(this.dropChance)) return;
+    const late = this.random.chance(this.lateChance);
+    this.faults.maxDelayMs = late ? MAX_LATE_MS : this.delayMs;
     this.network.send(from, to, message);
   }
 
-  /** Runs `ms` of virtual time; `each` runs at every step. */
-  advance(ms: number, each: () => void): void {
+  /** Advances the virtual time by `ms`; calls `onStep` at every step. */
+  advance(ms: number, onStep: () => void): void {
     const end = this.now() + ms;
-    while (this.now() < end) this.step(each);
+    while (this.now() < end) this.step(onStep);
   }
 
-  /** Whether every instance votes and holds all that was committed. */
-  isWhole(): boolean {
+  /**
+   * Whether there is one leader and every instance votes and knows all committed
+   * entries.
+   */
+  hasRecovered(): boolean {
     const {committedIndex} = this.history;
-    const all = [...this.instances.values()].map(one => one.status());
-    const leaders = all.filter(status => status?.role === 'leader');
+    const statuses = [...this.instances.values()].map(one => one.status());
+    const leaders = statuses.filter(status => status?.role === 'leader');
     return (
       leaders.length === 1 &&
-      all.every(
+      statuses.every(
         status => status?.voter && status.commitIndex >= committedIndex
       ) &&
       this.history.configuration.voters.length === this.ids.length
     );
   }
 
-  /** One random fault, or the end of one. */
-  disturb(): void {
-    const one = this.anyInstance();
+  /** Starts a random fault or ends some. */
+  injectFault(): void {
+    const instance = this.randomInstance();
     if (this.random.chance(this.wipeChance)) {
-      this.wipe(one);
+      this.wipe(instance);
       return;
     }
     const fault = this.random.int(0, 13);
-    if (fault <= 1) this.stop(one);
-    else if (fault <= 5) for (const each of this.all()) each.boot();
-    else if (fault <= 6) this.network.cut(one.id, this.anyInstance().id);
-    else if (fault <= 7) this.isolate(one.id);
+    if (fault <= 1) this.stop(instance);
+    else if (fault <= 5) for (const each of this.allInstances()) each.boot();
+    else if (fault <= 6)
+      this.network.cut(instance.id, this.randomInstance().id);
+    else if (fault <= 7) this.isolate(instance.id);
     else if (fault <= 10) this.network.heal();
-    else if (fault <= 11) one.pause();
-    else for (const each of this.all()) each.resume();
+    else if (fault <= 11) instance.pause();
+    else for (const each of this.allInstances()) each.resume();
   }
 
-  /** Ends a process, now and then in an orderly way. */
-  private stop(one: LogInstance): void {
-    if (this.random.chance(0.3)) one.step({kind: 'resign'});
-    one.crash();
+  /** Crashes a process; sometimes it resigns as leader first. */
+  private stop(instance: LogInstance): void {
+    if (this.random.chance(0.3)) instance.step({kind: 'resign'});
+    instance.crash();
   }
 
-  /** Loses a disk, unless that would make a majority of lost ones. */
-  wipe(one: LogInstance): void {
+  /** Loses a disk, unless more than a minority would be lost at once. */
+  wipe(instance: LogInstance): void {
     for (const {id, incarnation} of this.history.configuration.voters)
       if (
         this.instances.get(id)?.disk.durable?.hard.incarnation === incarnation
       )
-        this.lost.delete(id);
+        this.lostDisks.delete(id);
     const minority = Math.floor((this.ids.length - 1) / 2);
-    if (new Set([...this.lost, one.id]).size > minority) return;
-    this.lost.add(one.id);
-    one.wipe();
-    if (this.random.chance(0.5)) one.boot();
+    if (new Set([...this.lostDisks, instance.id]).size > minority) return;
+    this.lostDisks.add(instance.id);
+    instance.wipe();
+    if (this.random.chance(0.5)) instance.boot();
   }
 
-  /** Ends all faults for good. */
-  settle(): void {
-    this.drop = 0;
-    this.straggle = 0;
+  /** Ends all faults for the rest of the schedule. */
+  endFaults(): void {
+    this.dropChance = 0;
+    this.lateChance = 0;
     this.heal();
   }
 
   heal(): void {
     this.network.heal();
-    for (const one of this.all()) {
+    for (const one of this.allInstances()) {
       one.resume();
       one.boot();
     }
   }
 
-  /** Proposes new holders and asks for barriers, mostly at a leader. */
-  load(): void {
-    for (const one of this.all()) {
+  /** Submits proposals and read barriers, mostly at leaders. */
+  submitLoad(): void {
+    for (const one of this.allInstances()) {
       const rate = one.status()?.role === 'leader' ? 1 : 0.1;
       if (this.random.chance(0.05 * rate)) one.propose(this.nextHolder());
       if (this.random.chance(0.03 * rate)) one.readBarrier();
@@ -175,12 +181,12 @@
     return `holder-${++this.proposals}`;
   }
 
-  private all(): readonly LogInstance[] {
+  private allInstances(): readonly LogInstance[] {
     return [...this.instances.values()];
   }
 
-  private anyInstance(): LogInstance {
-    return this.random.pick(this.all());
+  private randomInstance(): LogInstance {
+    return this.random.pick(this.allInstances());
   }
 
   private isolate(id: string): void {
@@ -190,14 +196,14 @@
     }
   }
 
-  private step(each: () => void): void {
+  private step(onStep: () => void): void {
     for (const {from, to, message} of this.network.advance(STEP_MS))
       this.deliver(from, to, message);
-    for (const one of this.all()) {
+    for (const one of this.allInstances()) {
       one.syncDisk();
       if (this.now() % TICK_MS === 0) one.step({kind: 'tick'});
     }
-    each();
+    onStep();
   }
 
   private deliver(from: string, to: string, message: LogMessage): void {
@@ -220,26 +226,26 @@
   const cluster = new LogCluster(seed);
   const {random} = cluster;
   const faultChance = random.pick([0.002, 0.008, 0.03]);
-  const quietUntil = random.pick([0, QUIET_MS]);
+  const quietUntil = random.pick([0, MAX_QUIET_START_MS]);
   cluster.wipeChance = random.pick([0.05, 0.15, 0.4]);
   cluster.heal();
   cluster.advance(FAULTS_MS, () => {
     if (cluster.now() > quietUntil && random.chance(faultChance))
-      cluster.disturb();
-    cluster.load();
+      cluster.injectFault();
+    cluster.submitLoad();
   });
-  cluster.settle();
-  assertHeals(cluster);
+  cluster.endFaults();
+  assertRecovers(cluster);
   return cluster.history;
 }
 
-function assertHeals(cluster: LogCluster): void {
+function assertRecovers(cluster: LogCluster): void {
   const {history} = cluster;
-  const end = cluster.now() + HEAL_MS;
+  const end = cluster.now() + RECOVERY_TIMEOUT_MS;
   const before = history.acceptedCount;
   while (cluster.now() < end) {
-    cluster.advance(RETRY_MS, () => undefined);
-    if (history.acceptedCount > before && cluster.isWhole()) return;
+    cluster.advance(PROPOSAL_RETRY_MS, () => undefined);
+    if (history.acceptedCount > before && cluster.hasRecovered()) return;
     for (const one of cluster.instances.values())
       if (one.status()?.role === 'leader' && history.acceptedCount === before)
         one.propose(cluster.nextHolder());
@@ -248,7 +254,9 @@
     id,
     ...one.status(),
   }));
-  throw new BrokenPromise(`not whole again: ${JSON.stringify(states)}`);
+  throw new InvariantViolation(
+    `cluster has not recovered in time: ${JSON.stringify(states)}`
+  );
 }
 
 /** The model that the fuzz command runs. */
--- a/bench/fuzz/mapModel.ts
+++ b/bench/fuzz/mapModel.ts
@@ -1,9 +1,10 @@
 /**
- * Switches of expert maps under seeded schedules: ranks in lock-step, two rival
- * controllers, restarts of engines, agents and controllers at any point, late,
- * lost and repeated messages, engines that check fences and engines that do
- * not. Checked: every step is run with the same map by all ranks, decided
- * versions only grow, and after the faults the group goes on and can switch.
+ * Map switches under seeded schedules: ranks in lock-step, two competing
+ * controllers, restarts of engines, agents and controllers at any time, late,
+ * lost and duplicated messages, engines with and without checks of the fencing
+ * token. Checks that all ranks run each pass with the same map, that decided
+ * versions never fall, and that the group makes passes and switches maps again
+ * after the faults.
  */
 
 import type {
@@ -27,20 +28,21 @@
 import {LockStepEngine} from './lockStepEngine';
 import type {EngineOrder} from './lockStepEngine';
 import {MapHistory} from './mapHistory';
-import type {EngineWire, LogWire, Wire} from './mapWires';
+import type {EngineMessage, LogRpcMessage, RankMessage} from './mapWires';
 import {Network, SeededRandom} from './schedule';
 
 const GROUP = 'g';
 const CONTROLLERS = 2;
-const QUIET_MS = 40;
+const MAX_ORDER_DELAY_MS = 40;
 const FAULTS_MS = 2500;
-const CALM_MS = 5000;
+const RECOVERY_MS = 5000;
 const TICK_MS = 5;
-const CALM = {drop: 0, duplicate: 0, maxDelayMs: 10};
-/** Chance that a rank does not run its step in a turn though it may. */
-const STALL = 0.2;
-const LOAD_SEEDS = 1_000_000;
-const MAP: ExpertMap = {slots: [[0]], shares: [[1]]};
+const RELIABLE = {drop: 0, duplicate: 0, maxDelayMs: 10};
+/** Chance that a rank that may run its pass does not run it in this tick. */
+const STALL_CHANCE = 0.2;
+/** Added to the seed for the random numbers of weight loads. */
+const STAGE_SEED_OFFSET = 1_000_000;
+const EXPERT_MAP: ExpertMap = {slots: [[0]], shares: [[1]]};
 
 interface RankNode {
   readonly engine: LockStepEngine;
@@ -53,42 +55,46 @@
   boot: number;
 }
 
-class MapWorld {
+class MapSwitchSimulation {
   private readonly random: SeededRandom;
-  private net: Network<Wire>;
-  private logNet: Network<LogWire>;
-  /** Of the time with faults; what is under way there still arrives. */
-  private oldNet?: Network<Wire>;
-  private oldLogNet?: Network<LogWire>;
-  private readonly link: Network<EngineWire>;
-  /** Loads of weights, with chances of their own, so that seeds keep theirs. */
-  private readonly loadRandom: SeededRandom;
+  private rankNet: Network<RankMessage>;
+  private logNet: Network<LogRpcMessage>;
+  /** Network of the time with faults; its messages in flight still arrive. */
+  private faultyNet?: Network<RankMessage>;
+  private faultyLogNet?: Network<LogRpcMessage>;
+  private readonly engineLink: Network<EngineMessage>;
+  /**
+   * Random numbers for weight loads alone. Loads don't change the numbers that
+   * the rest of the schedule draws for a seed.
+   */
+  private readonly stageRandom: SeededRandom;
+  /** Orders to load weights that are under way. */
   private readonly loads: Network<StageMessage>;
   private readonly state = new MapState();
   private readonly ranks: RankNode[];
   private readonly controllers: ControllerNode[];
   private readonly history = new MapHistory();
   private now = 0;
-  switched = 0;
+  switchCount = 0;
 
   constructor(seed: number) {
     this.random = new SeededRandom(seed);
     const drop = this.random.pick([0, 0.05, 0.2]);
     const duplicate = this.random.pick([0, 0.1]);
     const maxDelayMs = this.random.pick([10, 60, 300]);
-    this.net = new Network(this.random, {drop, duplicate, maxDelayMs});
+    this.rankNet = new Network(this.random, {drop, duplicate, maxDelayMs});
     this.logNet = new Network(this.random, {
       drop: drop / 2,
       duplicate: 0,
       maxDelayMs: this.random.pick([5, 50, 200]),
     });
-    this.link = new Network(this.random, {
+    this.engineLink = new Network(this.random, {
       drop: 0,
       duplicate: 0,
-      maxDelayMs: this.random.pick([2, QUIET_MS / 4]),
+      maxDelayMs: this.random.pick([2, MAX_ORDER_DELAY_MS / 4]),
     });
-    this.loadRandom = new SeededRandom(seed + LOAD_SEEDS);
-    this.loads = new Network(this.loadRandom, {...CALM, maxDelayMs: 300});
+    this.stageRandom = new SeededRandom(seed + STAGE_SEED_OFFSET);
+    this.loads = new Network(this.stageRandom, {...RELIABLE, maxDelayMs: 300});
     const fencing = this.random.chance(0.5);
     this.ranks = Array.from({length: this.random.int(4, 8)}, () => ({
       engine: new LockStepEngine(fencing),
@@ -100,46 +106,46 @@
   }
 
   run(): void {
-    this.toController(0, {kind: 'lead'});
-    while (this.now < FAULTS_MS) this.turn(() => this.fault());
+    this.controlEvent(0, {kind: 'lead'});
+    while (this.now < FAULTS_MS) this.advance(() => this.injectFaults());
     this.endFaults();
     const steps = this.ranks.map(node => node.engine.step);
-    const before = this.switched;
-    while (this.now < FAULTS_MS + CALM_MS) this.turn(() => undefined);
-    this.checkProgress(steps, before);
+    const switchesBefore = this.switchCount;
+    while (this.now < FAULTS_MS + RECOVERY_MS) this.advance(() => undefined);
+    this.checkProgress(steps, switchesBefore);
   }
 
-  private turn(fault: () => void): void {
+  private advance(injectFault: () => void): void {
     this.now += TICK_MS;
-    fault();
+    injectFault();
     this.deliver();
     this.ranks.forEach((_, rank) => this.tickRank(rank));
-    this.runSteps();
+    this.runPasses();
     this.controllers.forEach((_, index) => this.tickController(index));
   }
 
   private deliver(): void {
-    for (const {to, message} of this.arrived(this.net, this.oldNet)) {
-      if (message.kind === 'toRank') this.toRank(to, message.message);
-      else this.fromRank(to, message.message);
+    for (const {to, message} of this.arrivals(this.rankNet, this.faultyNet)) {
+      if (message.kind === 'toRank') this.deliverToRank(to, message.message);
+      else this.deliverFromRank(to, message.message);
     }
-    for (const {from, to, message} of this.arrived(
+    for (const {from, to, message} of this.arrivals(
       this.logNet,
-      this.oldLogNet
+      this.faultyLogNet
     )) {
-      if (message.action) this.atLog(from, message.boot, message.action);
+      if (message.action) this.serveLog(from, message.boot, message.action);
       const target = this.controllers[Number(to)];
       if (message.event && target?.boot === message.boot)
-        this.toController(Number(to), message.event);
+        this.controlEvent(Number(to), message.event);
     }
-    for (const {to, message} of this.link.advance(TICK_MS))
-      this.atLink(Number(to), message);
+    for (const {to, message} of this.engineLink.advance(TICK_MS))
+      this.handleEngineMessage(Number(to), message);
     for (const {to, message} of this.loads.advance(TICK_MS))
       this.rankEvent(Number(to), {kind: 'message', message});
   }
 
-  private arrived<M>(net: Network<M>, old?: Network<M>) {
-    return [...(old?.advance(TICK_MS) ?? []), ...net.advance(TICK_MS)];
+  private arrivals<M>(net: Network<M>, faultyNet?: Network<M>) {
+    return [...(faultyNet?.advance(TICK_MS) ?? []), ...net.advance(TICK_MS)];
   }
 
   // Ranks.
@@ -152,7 +158,7 @@
       rank,
       agentBootId: `a${rank}.${node.agentBoot}`,
       bootAtMs: this.now,
-      quietMs: QUIET_MS,
+      quietMs: MAX_ORDER_DELAY_MS,
       retryMs: 30,
     });
   }
@@ -169,7 +175,7 @@
     this.rankEvent(rank, {kind: 'tick'});
   }
 
-  private toRank(to: string, message: ToRankMessage): void {
+  private deliverToRank(to: string, message: ToRankMessage): void {
     this.rankEvent(Number(to.slice(1)), {kind: 'message', message});
   }
 
@@ -181,8 +187,8 @@
   private rankAction(rank: number, action: RankAction): void {
     switch (action.kind) {
       case 'send':
-        return this.tellControllers(rank, action.message);
-      // At once: what comes late has been late on its way to the agent.
+        return this.broadcast(rank, action.message);
+      // Without delay: stage orders are delayed on their way to the agent.
       case 'stageEngine':
         return void this.node(rank).engine.take(action, false);
       default:
@@ -190,32 +196,32 @@
     }
   }
 
-  private tellControllers(rank: number, told: FromRankMessage): void {
-    if (told.kind === 'staged') return;
-    const message: Wire = {kind: 'fromRank', message: told};
-    // A rank does not know who leads; it tells every control instance.
+  private broadcast(rank: number, payload: FromRankMessage): void {
+    if (payload.kind === 'staged') return;
+    const message: RankMessage = {kind: 'fromRank', message: payload};
+    // A rank does not know the leader: it sends to every control instance.
     this.controllers.forEach((_, index) =>
-      this.net.send(`r${rank}`, `${index}`, message)
+      this.rankNet.send(`r${rank}`, `${index}`, message)
     );
   }
 
   private orderEngine(rank: number, order: EngineOrder): void {
     const {agentBoot, engine} = this.node(rank);
-    this.link.send('agent', `${rank}`, {
+    this.engineLink.send('agent', `${rank}`, {
       agentBoot,
       engineBoot: engine.boot,
       order,
     });
   }
 
-  private atLink(rank: number, message: EngineWire): void {
+  private handleEngineMessage(rank: number, message: EngineMessage): void {
     const node = this.node(rank);
-    // The connection ends with the engine's process, not with the agent's.
+    // A restart of the engine closes the connection, one of the agent does not.
     if (message.engineBoot !== node.engine.boot) return;
     if (message.order) {
       const answer = node.engine.take(message.order, this.random.chance(0.05));
       if (answer)
-        this.link.send('engine', `${rank}`, {
+        this.engineLink.send('engine', `${rank}`, {
           ...message,
           order: undefined,
           answer,
@@ -226,19 +232,19 @@
       this.rankEvent(rank, message.answer);
   }
 
-  /** Every rank that may runs one step; nobody is more than a step ahead. */
-  private runSteps(): void {
-    const least = Math.min(...this.ranks.map(({engine}) => engine.step));
+  /** Each rank runs at most one pass, and none gets more than one ahead. */
+  private runPasses(): void {
+    const lowest = Math.min(...this.ranks.map(({engine}) => engine.step));
     for (const {engine} of this.ranks) {
-      if (engine.step !== least || !this.allFormed(least)) continue;
-      if (this.random.chance(STALL)) continue;
+      if (engine.step !== lowest || !this.allRanksReady(lowest)) continue;
+      if (this.random.chance(STALL_CHANCE)) continue;
       const version = engine.runStep();
-      if (version !== undefined) this.history.ran(least, version);
+      if (version !== undefined) this.history.recordPass(lowest, version);
     }
   }
 
-  /** A step is run by all ranks together; one that is away stops all. */
-  private allFormed(step: number): boolean {
+  /** All ranks run a pass together: one that is missing stops the group. */
+  private allRanksReady(step: number): boolean {
     return this.ranks.every(
       ({engine}) => engine.up && (engine.running || engine.step > step)
     );
@@ -253,7 +259,7 @@
       group: GROUP,
       ranks: this.ranks.length,
       holder: `c${index}.${node.boot}`,
-      initialMap: MAP,
+      initialMap: EXPERT_MAP,
       marginSteps: 10,
       maxMarginSteps: 80,
       promiseTimeoutMs: 300,
@@ -268,31 +274,31 @@
     return node;
   }
 
-  private fromRank(to: string, message: FromRankMessage): void {
+  private deliverFromRank(to: string, message: FromRankMessage): void {
     if (message.kind === 'expertCounts' || message.kind === 'staged') return;
-    this.toController(Number(to), {kind: 'message', message});
+    this.controlEvent(Number(to), {kind: 'message', message});
   }
 
   private tickController(index: number): void {
-    this.toController(index, {kind: 'tick'});
+    this.controlEvent(index, {kind: 'tick'});
     const {machine} = this.controller(index);
-    this.stageSometimes(index, machine?.fence);
+    this.maybeStage(index, machine?.fence);
     if (!machine?.idle || !this.random.chance(0.1)) return;
     const step = Math.max(...this.ranks.map(({engine}) => engine.step));
-    // What the controller knows of the steps lags behind.
-    const known = Math.max(0, step - this.random.int(0, 8));
-    this.toController(index, {kind: 'start', map: MAP, step: known});
+    // The controller's view of the pass count is up to 8 passes old.
+    const knownStep = Math.max(0, step - this.random.int(0, 8));
+    this.controlEvent(index, {kind: 'start', map: EXPERT_MAP, step: knownStep});
   }
 
-  /** Loads of weights go on beside any switch. */
-  private stageSometimes(index: number, fence: number | undefined): void {
-    if (fence === undefined || !this.loadRandom.chance(0.05)) return;
-    const rank = this.loadRandom.int(0, this.ranks.length - 1);
+  /** Orders to load weights are sent at any time, also during a switch. */
+  private maybeStage(index: number, fence: number | undefined): void {
+    if (fence === undefined || !this.stageRandom.chance(0.05)) return;
+    const rank = this.stageRandom.int(0, this.ranks.length - 1);
     const order = {kind: 'stage', group: GROUP, slot: 0, expert: 0} as const;
     this.loads.send(`${index}`, `${rank}`, {...order, fence});
   }
 
-  private toController(index: number, event: SwitchEvent): void {
+  private controlEvent(index: number, event: SwitchEvent): void {
     const {machine, boot} = this.controller(index);
     const actions = machine?.handle(event, this.now) ?? [];
     for (const action of actions) this.controllerAction(index, boot, action);
@@ -308,7 +314,7 @@
         this.sendToRank(`${index}`, action.rank, action.message);
         return;
       case 'ended':
-        if (action.result.kind === 'switched') this.switched++;
+        if (action.result.kind === 'switched') this.switchCount++;
         return;
       default:
         this.logNet.send(`${index}`, 'log', {boot, action});
@@ -316,10 +322,10 @@
   }
 
   private sendToRank(from: string, rank: number, message: ToRankMessage): void {
-    this.net.send(from, `r${rank}`, {kind: 'toRank', message});
+    this.rankNet.send(from, `r${rank}`, {kind: 'toRank', message});
   }
 
-  private atLog(from: string, boot: number, action: SwitchAction): void {
+  private serveLog(from: string, boot: number, action: SwitchAction): void {
     const reply = (event: SwitchEvent) =>
       this.logNet.send('log', from, {boot, event});
     switch (action.kind) {
@@ -350,23 +356,23 @@
     if (command.kind === 'fence')
       return {kind: 'fence', ...this.state.applyFence(command)};
     const result = this.state.applyDecision(command).kind;
-    this.history.decided(this.state.group(GROUP).decidedVersion);
+    this.history.recordDecided(this.state.group(GROUP).decidedVersion);
     return {kind: 'decided', version: command.version, result};
   }
 
   // Faults and checks.
 
-  private fault(): void {
+  private injectFaults(): void {
     const rank = this.random.int(0, this.ranks.length - 1);
     const index = this.random.int(0, CONTROLLERS - 1);
     if (this.random.chance(0.004)) this.node(rank).agent = undefined;
     if (this.random.chance(0.004)) this.node(rank).engine.stop();
     if (this.random.chance(0.004)) this.controller(index).machine = undefined;
-    if (this.random.chance(0.01)) this.toController(index, {kind: 'lead'});
-    if (this.random.chance(0.004)) this.toController(index, {kind: 'resign'});
-    if (this.random.chance(0.004)) this.net.cut(`r${rank}`, `${index}`);
-    if (this.random.chance(0.004)) this.net.cut(`${index}`, `r${rank}`);
-    if (this.random.chance(0.01)) this.net.heal();
+    if (this.random.chance(0.01)) this.controlEvent(index, {kind: 'lead'});
+    if (this.random.chance(0.004)) this.controlEvent(index, {kind: 'resign'});
+    if (this.random.chance(0.004)) this.rankNet.cut(`r${rank}`, `${index}`);
+    if (this.random.chance(0.004)) this.rankNet.cut(`${index}`, `r${rank}`);
+    if (this.random.chance(0.01)) this.rankNet.heal();
     if (this.random.chance(0.05)) this.restartStopped();
   }
 
@@ -381,28 +387,29 @@
   }
 
   private endFaults(): void {
-    this.oldNet = this.net;
-    this.oldLogNet = this.logNet;
-    this.net = new Network(this.random, CALM);
-    this.logNet = new Network(this.random, CALM);
+    this.faultyNet = this.rankNet;
+    this.faultyLogNet = this.logNet;
+    this.rankNet = new Network(this.random, RELIABLE);
+    this.logNet = new Network(this.random, RELIABLE);
     this.restartStopped();
-    this.toController(1, {kind: 'resign'});
-    this.toController(0, {kind: 'lead'});
+    this.controlEvent(1, {kind: 'resign'});
+    this.controlEvent(0, {kind: 'lead'});
   }
 
-  private checkProgress(steps: readonly number[], switched: number): void {
+  private checkProgress(steps: readonly number[], switches: number): void {
     this.ranks.forEach(({engine}, rank) => {
       if (engine.step <= (steps[rank] ?? 0) + 1)
-        throw new Error(`rank ${rank} stands at step ${engine.step}`);
+        throw new Error(`rank ${rank} stays at pass ${engine.step}`);
     });
-    if (this.switched === switched) throw new Error('no switch after faults');
+    if (this.switchCount === switches)
+      throw new Error('no switch after faults');
   }
 }
 
-/** The model for the fuzz command. */
+/** Checks map switches of a group of ranks. */
 export const MAP_MODEL: FuzzModel = {
   name: 'expertMap',
   run(seed) {
-    new MapWorld(seed).run();
+    new MapSwitchSimulation(seed).run();
   },
 };
--- a/bench/fuzz/mapWires.ts
+++ b/bench/fuzz/mapWires.ts
@@ -1,4 +1,4 @@
-/** What travels in the model of map switches. */
+/** Messages in the model of map switches. */
 
 import type {
   SwitchAction,
@@ -7,20 +7,20 @@
 import type {FromRankMessage, ToRankMessage} from '../../src/core/mapMessages';
 import type {EngineAnswer, EngineOrder} from './lockStepEngine';
 
-/** Between controllers and agents. */
-export type Wire =
+/** Between a controller and an agent. */
+export type RankMessage =
   | {readonly kind: 'toRank'; readonly message: ToRankMessage}
   | {readonly kind: 'fromRank'; readonly message: FromRankMessage};
 
-/** Between a controller and the log: nothing is repeated, answers get lost. */
-export interface LogWire {
+/** Between a controller and the log: never duplicated, replies can be lost. */
+export interface LogRpcMessage {
   readonly boot: number;
   readonly action?: SwitchAction;
   readonly event?: SwitchEvent;
 }
 
-/** Between an agent and its engine: in order, never lost while both live. */
-export interface EngineWire {
+/** Between an agent and its engine: not lost while both processes run. */
+export interface EngineMessage {
   readonly agentBoot: number;
   readonly engineBoot: number;
   readonly order?: EngineOrder;
--- a/bench/fuzz/memoryDisk.ts
+++ b/bench/fuzz/memoryDisk.ts
@@ -1,4 +1,4 @@
-/** A disk in memory that loses what was not synced when its process dies. */
+/** A disk in memory that loses unsynced writes when its process dies. */
 
 import type {DurableState, LogWrite} from '../../src/control/log/entry';
 
@@ -8,12 +8,12 @@
   readonly dueAt: number;
 }
 
-/** Durable state and the writes that are not yet part of it. */
+/** Durable state and the queue of unsynced writes. */
 export class MemoryDisk {
   durable: DurableState | undefined;
   private queue: readonly QueuedWrite[] = [];
-  /** Longest durable log while a term was the durable one. */
-  private readonly lengths = new Map<number, number>();
+  /** Highest index that the durable log had during a term, by term. */
+  private readonly longestLogByTerm = new Map<number, number>();
 
   write(seq: number, writes: readonly LogWrite[], dueAt: number): void {
     const earliest = this.queue.at(-1)?.dueAt ?? 0;
@@ -21,42 +21,45 @@
     this.queue = [...this.queue, queued];
   }
 
-  /** Makes durable what is due; returns the number of the last such write. */
+  /** Makes due writes durable; returns the sequence number of the last one. */
   sync(now: number): number | undefined {
     const due = this.queue.filter(({dueAt}) => dueAt <= now);
     this.queue = this.queue.filter(({dueAt}) => dueAt > now);
-    this.take(due.flatMap(({writes}) => writes));
+    this.makeDurable(due.flatMap(({writes}) => writes));
     return due.at(-1)?.seq;
   }
 
-  /** Loses the queue, except the first `kept` changes that got through. */
+  /** Drops the queue, except its first `kept` writes, which become durable. */
   crash(kept: number): void {
-    this.take(this.queue.flatMap(({writes}) => writes).slice(0, kept));
+    this.makeDurable(this.queue.flatMap(({writes}) => writes).slice(0, kept));
     this.queue = [];
   }
 
   wipe(): void {
     this.durable = undefined;
     this.queue = [];
-    this.lengths.clear();
+    this.longestLogByTerm.clear();
   }
 
-  /** Last index that was durable at some moment of a term. */
-  lengthIn(term: number): number {
-    return this.lengths.get(term) ?? 0;
+  /** Highest index that was durable at any time during a term. */
+  longestLogIn(term: number): number {
+    return this.longestLogByTerm.get(term) ?? 0;
   }
 
-  private take(writes: readonly LogWrite[]): void {
+  private makeDurable(writes: readonly LogWrite[]): void {
     for (const write of writes) {
       this.durable = changed(this.durable, write);
       const {term} = this.durable.hard;
       const length = lastIndexOf(this.durable);
-      this.lengths.set(term, Math.max(length, this.lengthIn(term)));
+      this.longestLogByTerm.set(
+        term,
+        Math.max(length, this.longestLogIn(term))
+      );
     }
   }
 }
 
-/** The durable state after one change. */
+/** Returns the durable state after one write. */
 export function changed(
   state: DurableState | undefined,
   write: LogWrite
@@ -79,7 +82,7 @@
   return {...state, snapshot, base: keepAfter, entries};
 }
 
-/** Index of the last entry in a durable state. */
+/** Index of the last log entry in a durable state. */
 export function lastIndexOf(state: DurableState): number {
   return state.base.index + state.entries.length;
 }
--- a/bench/fuzz/memoryFiles.ts
+++ b/bench/fuzz/memoryFiles.ts
@@ -1,6 +1,6 @@
 /**
- * Files in memory that forget, at a crash, what a real disk may forget: bytes
- * that were not synced, and names whose folder was not synced.
+ * Files in memory that lose at a crash what a real disk may lose: unsynced
+ * bytes, and names in a folder that was not synced.
  */
 
 import path from 'node:path';
@@ -12,7 +12,7 @@
   synced: Buffer;
 }
 
-/** An operation that may be made to fail. */
+/** An operation that a test can make fail. */
 export type FileOperation =
   | 'list'
   | 'read'
@@ -24,22 +24,22 @@
   | 'remove'
   | 'syncDir';
 
-/** One disk of one instance; folders need not be made. */
+/** The disk of one instance; folders exist without being created. */
 export class MemoryFiles implements DiskFiles {
-  /** Operations so far. */
+  /** Operations so far, including those that failed. */
   readonly done: FileOperation[] = [];
   private names = new Map<string, FileNode>();
   private durableNames = new Map<string, FileNode>();
-  private fault: (operation: FileOperation) => void = () => undefined;
+  private faultHook: (operation: FileOperation) => void = () => undefined;
 
-  /** `fault` may throw before any operation. */
+  /** Sets a hook that runs before each operation and may throw. */
   setFault(fault: (operation: FileOperation) => void): void {
-    this.fault = fault;
+    this.faultHook = fault;
   }
 
-  /** Power goes: of what was not synced, a part may be there. */
+  /** Power loss: a random part of the unsynced data survives. */
   crash(random: SeededRandom): void {
-    this.fault = () => undefined;
+    this.faultHook = () => undefined;
     const names = new Map<string, FileNode>();
     for (const name of new Set([
       ...this.names.keys(),
@@ -47,7 +47,7 @@
     ])) {
       const source = random.chance(0.5) ? this.names : this.durableNames;
       const node = source.get(name);
-      if (node !== undefined) names.set(name, cutOff(node, random));
+      if (node !== undefined) names.set(name, dropUnsynced(node, random));
     }
     this.names = names;
     this.durableNames = new Map(names);
@@ -56,7 +56,7 @@
   async makeDir(): Promise<void> {}
 
   async list(dir: string): Promise<readonly string[]> {
-    this.begin('list');
+    this.startOperation('list');
     return [...this.names.keys()]
       .filter(name => path.dirname(name) === dir)
       .map(name => path.basename(name))
@@ -64,22 +64,22 @@
   }
 
   async read(file: string): Promise<Buffer | undefined> {
-    this.begin('read');
+    this.startOperation('read');
     return this.names.get(file)?.data;
   }
 
   async openAppend(file: string): Promise<AppendFile> {
-    this.begin('open');
+    this.startOperation('open');
     const none = Buffer.alloc(0);
     const node = this.names.get(file) ?? {data: none, synced: none};
     this.names.set(file, node);
     return {
       append: async data => {
-        this.begin('append');
+        this.startOperation('append');
         node.data = Buffer.concat([node.data, data]);
       },
       sync: async () => {
-        this.begin('sync');
+        this.startOperation('sync');
         node.synced = node.data;
       },
       close: async () => undefined,
@@ -87,7 +87,7 @@
   }
 
   async truncate(file: string, bytes: number): Promise<void> {
-    this.begin('truncate');
+    this.startOperation('truncate');
     const node = this.names.get(file);
     if (node === undefined) return;
     node.data = node.data.subarray(0, bytes);
@@ -95,7 +95,7 @@
   }
 
   async rename(from: string, to: string): Promise<void> {
-    this.begin('rename');
+    this.startOperation('rename');
     const node = this.names.get(from);
     if (node === undefined) throw new Error(`no file ${from}`);
     this.names.delete(from);
@@ -103,26 +103,26 @@
   }
 
   async remove(file: string): Promise<void> {
-    this.begin('remove');
+    this.startOperation('remove');
     this.names.delete(file);
   }
 
   async syncDir(dir: string): Promise<void> {
-    this.begin('syncDir');
+    this.startOperation('syncDir');
     for (const name of this.durableNames.keys())
       if (path.dirname(name) === dir) this.durableNames.delete(name);
     for (const [name, node] of this.names)
       if (path.dirname(name) === dir) this.durableNames.set(name, node);
   }
 
-  private begin(operation: FileOperation): void {
+  private startOperation(operation: FileOperation): void {
     this.done.push(operation);
-    this.fault(operation);
+    this.faultHook(operation);
   }
 }
 
-/** Synced bytes are there for sure; of the rest, any beginning. */
-function cutOff(node: FileNode, random: SeededRandom): FileNode {
+/** Keeps all synced bytes and a random prefix of the unsynced ones. */
+function dropUnsynced(node: FileNode, random: SeededRandom): FileNode {
   const unsynced = Math.max(0, node.data.length - node.synced.length);
   const kept = node.synced.length + random.int(0, unsynced);
   const data = Buffer.from(node.data.subarray(0, kept));
--- a/bench/fuzz/models.ts
+++ b/bench/fuzz/models.ts
@@ -1,4 +1,4 @@
-/** The models that the fuzz command and CI run. */
+/** List of the models that the fuzz command and CI run. */
 
 import type {FuzzModel} from './fuzzModel';
 import {FRESHNESS_MODEL} from './freshnessModel';
@@ -9,7 +9,7 @@
 import {RAMP_MODEL} from './rampModel';
 import {STREAM_MODEL} from './streamModel';
 
-/** One entry a state machine. */
+/** One model per decision state machine. */
 export const FUZZ_MODELS: readonly FuzzModel[] = [
   FRESHNESS_MODEL,
   LOG_MODEL,
--- a/bench/fuzz/onceModel.ts
+++ b/bench/fuzz/onceModel.ts
@@ -1,7 +1,8 @@
 /**
- * Calls that may run at most once, under faults: the entry's decisions, the
- * agent's record and the claims of control as they ship, with late, lost and
- * doubled messages, entries and agents that die, and callers that resend.
+ * Calls that may run at most once, under faults. Uses the product code for the
+ * entry's decisions, the agent's claim records and the claims at control, with
+ * late, lost and duplicated messages, entries and agents that die, and callers
+ * that submit a call again.
  */
 
 import type {RecordedAnswer} from '../../src/core/claims';
@@ -14,24 +15,29 @@
   OnceEvent,
   OnceTarget,
 } from '../../src/entry/onceMachine';
-import {Ended, OnceHistory, Run, checkOnce} from './onceHistory';
-import {ModelCall, OnceSurroundings} from './onceModelCall';
+import {
+  SubmissionEnd,
+  OnceHistory,
+  TargetRun,
+  checkAtMostOnce,
+} from './onceHistory';
+import {CallSubmission, OnceEnvironment} from './onceModelCall';
 import type {FuzzModel} from './fuzzModel';
 import {SeededRandom} from './schedule';
 import {Timeline} from './timeline';
 
 const CUSTOMER = 'harbour';
 const KEYS = ['key-1', 'key-2', 'key-3'];
-const SENDS_PER_KEY = 4;
+const SUBMISSIONS_PER_KEY = 4;
 const AGENTS = 3;
 const ENTRIES = 2;
-const FAULTY_MS = 20_000;
+const FAULTS_MS = 20_000;
 const RPC_TIMEOUT_MS = 1_500;
 const CALL_TIMEOUT_MS = 10_000;
 const MAX_STEPS = 50_000;
 
-/** One agent's process and the target beside it, which outlives it. */
-class ModelAgent {
+/** An agent and its target, which continues to run when the agent dies. */
+class SimulatedAgent {
   boot = 1;
   up = true;
   guard = new OnceGuard();
@@ -49,97 +55,99 @@
   }
 }
 
-class OnceWorld implements OnceSurroundings, OnceHistory {
+class OnceSimulation implements OnceEnvironment, OnceHistory {
   readonly keys = KEYS;
-  readonly runs: Run[] = [];
-  readonly ended: Ended[] = [];
+  readonly runs: TargetRun[] = [];
+  readonly ended: SubmissionEnd[] = [];
   private readonly random: SeededRandom;
-  private readonly time: Timeline;
+  private readonly timeline: Timeline;
   private readonly claims = new ClaimState();
   private readonly agents = Array.from(
     {length: AGENTS},
-    (_, i) => new ModelAgent(`target-${i}`)
+    (_, i) => new SimulatedAgent(`target-${i}`)
   );
   private readonly entryBoots = Array.from({length: ENTRIES}, () => 0);
   private controlUp = true;
 
   constructor(seed: number) {
     this.random = new SeededRandom(seed);
-    this.time = new Timeline(this.random);
+    this.timeline = new Timeline(this.random);
   }
 
   run(): void {
     for (const key of KEYS) {
-      for (let i = 0; i < SENDS_PER_KEY; i++) {
-        this.time.within(0, FAULTY_MS, () => this.send(key, `${key}/${i}`));
+      for (let i = 0; i < SUBMISSIONS_PER_KEY; i++) {
+        this.timeline.within(0, FAULTS_MS, () =>
+          this.submit(key, `${key}/${i}`)
+        );
       }
-      // After the faults each key must come to an end that is not a guess.
-      this.time.after(FAULTY_MS * 3, () => this.send(key, `${key}/last`));
+      // After the faults the call must end with a definite outcome.
+      this.timeline.after(FAULTS_MS * 3, () => this.submit(key, `${key}/last`));
     }
     this.planFaults();
-    this.time.runAll(MAX_STEPS);
+    this.timeline.runAll(MAX_STEPS);
   }
 
-  private get faulty(): boolean {
-    return this.time.now < FAULTY_MS;
+  private get hasFaults(): boolean {
+    return this.timeline.now < FAULTS_MS;
   }
 
   private planFaults(): void {
     for (let i = this.random.int(0, 6); i > 0; i--) {
       const agent = this.random.pick(this.agents);
-      this.time.within(0, FAULTY_MS, () => {
+      this.timeline.within(0, FAULTS_MS, () => {
         agent.up = false;
-        this.time.within(1, 3_000, () => agent.restart());
+        this.timeline.within(1, 3_000, () => agent.restart());
       });
     }
     for (let i = this.random.int(0, 3); i > 0; i--) {
       const entry = this.random.int(0, ENTRIES - 1);
-      this.time.within(0, FAULTY_MS, () => this.entryBoots[entry]!++);
+      this.timeline.within(0, FAULTS_MS, () => this.entryBoots[entry]!++);
     }
     for (let i = this.random.int(0, 2); i > 0; i--) {
-      this.time.within(0, FAULTY_MS, () => {
+      this.timeline.within(0, FAULTS_MS, () => {
         this.controlUp = false;
-        this.time.within(1, 5_000, () => (this.controlUp = true));
+        this.timeline.within(1, 5_000, () => (this.controlUp = true));
       });
     }
   }
 
-  /** A message that may be late, lost or doubled while faults last. */
-  private message(deliver: () => void, mayDouble = true): void {
-    if (this.faulty && this.random.chance(0.1)) return;
-    const late = this.faulty && this.random.chance(0.15);
-    this.time.within(1, late ? 15_000 : 30, deliver);
-    if (mayDouble && this.faulty && this.random.chance(0.05))
-      this.time.within(1, 15_000, deliver);
+  /** Sends a message that may be late, lost or duplicated during the faults. */
+  private sendMessage(deliver: () => void, mayDuplicate = true): void {
+    if (this.hasFaults && this.random.chance(0.1)) return;
+    const isLate = this.hasFaults && this.random.chance(0.15);
+    this.timeline.within(1, isLate ? 15_000 : 30, deliver);
+    if (mayDuplicate && this.hasFaults && this.random.chance(0.05))
+      this.timeline.within(1, 15_000, deliver);
   }
 
-  /** Question and answer; `give` gets the answer or undefined, once. */
-  private ask<T>(
+  /** Calls `onReply` once: with the reply, or undefined after the timeout. */
+  private callWithTimeout<T>(
     timeoutMs: number,
-    question: () => T | undefined,
-    give: (answer: T | undefined) => void
+    handleRequest: () => T | undefined,
+    onReply: (answer: T | undefined) => void
   ): void {
-    let open = true;
+    let isPending = true;
     const finish = (answer: T | undefined) => {
-      if (!open) return;
-      open = false;
-      give(answer);
+      if (!isPending) return;
+      isPending = false;
+      onReply(answer);
     };
-    this.time.after(timeoutMs, () => finish(undefined));
-    this.message(() => {
-      const answer = question();
-      if (answer !== undefined) this.message(() => finish(answer));
+    this.timeline.after(timeoutMs, () => finish(undefined));
+    this.sendMessage(() => {
+      const answer = handleRequest();
+      if (answer !== undefined) this.sendMessage(() => finish(answer));
     });
   }
 
-  private send(key: string, callId: string): void {
+  private submit(key: string, callId: string): void {
     const entry = this.random.int(0, ENTRIES - 1);
-    new ModelCall(
+    new CallSubmission(
       this,
       entry,
       key,
       callId,
-      this.time.now + CALL_TIMEOUT_MS
+      this.timeline.now + CALL_TIMEOUT_MS
     ).start();
   }
 
@@ -148,9 +156,9 @@
   }
 
   pickTarget(tried: ReadonlySet<string>): OnceTarget | undefined {
-    const open = this.agents.filter(agent => !tried.has(agent.id));
-    if (open.length === 0 || this.random.chance(0.05)) return undefined;
-    const agent = this.random.pick(open);
+    const untried = this.agents.filter(agent => !tried.has(agent.id));
+    if (untried.length === 0 || this.random.chance(0.05)) return undefined;
+    const agent = this.random.pick(untried);
     // An announcement can be older than the agent's last restart.
     const boot = this.random.chance(0.1)
       ? Math.max(1, agent.boot - 1)
@@ -162,10 +170,10 @@
     key: string,
     requestId: string,
     target: OnceTarget,
-    left: number,
-    give: (event: OnceEvent) => void
+    remainingMs: number,
+    onEvent: (event: OnceEvent) => void
   ): void {
-    this.ask(
+    this.callWithTimeout(
       RPC_TIMEOUT_MS,
       () => {
         if (!this.controlUp) return undefined;
@@ -179,22 +187,22 @@
           requestId,
           targetId,
           agentBootId,
-          atMs: this.time.now,
+          atMs: this.timeline.now,
         } as const;
         return this.claims.claim(command);
       },
       result => {
         if (result !== undefined)
-          return give({kind: 'claimed', result, nowMs: this.time.now});
-        if (left > RPC_TIMEOUT_MS)
+          return onEvent({kind: 'claimed', result, nowMs: this.timeline.now});
+        if (remainingMs > RPC_TIMEOUT_MS)
           return this.claim(
             key,
             requestId,
             target,
-            left - RPC_TIMEOUT_MS,
-            give
+            remainingMs - RPC_TIMEOUT_MS,
+            onEvent
           );
-        return give({
+        return onEvent({
           kind: 'claim failed',
           peer: 'control',
           detail: 'no answer',
@@ -203,15 +211,15 @@
     );
   }
 
-  lookup(key: string, give: (event: OnceEvent) => void): void {
-    this.ask(
+  lookup(key: string, onEvent: (event: OnceEvent) => void): void {
+    this.callWithTimeout(
       RPC_TIMEOUT_MS,
       () =>
         this.controlUp ? this.claims.lookup(CUSTOMER, key, key) : undefined,
       result => {
         if (result === undefined)
-          return give({kind: 'claim failed', peer: 'control', detail: ''});
-        return give({kind: 'looked up', result, nowMs: this.time.now});
+          return onEvent({kind: 'claim failed', peer: 'control', detail: ''});
+        return onEvent({kind: 'looked up', result, nowMs: this.timeline.now});
       }
     );
   }
@@ -220,9 +228,9 @@
     key: string,
     attempt: number,
     settlement: Extract<OnceAction, {kind: 'settle'}>['settlement'],
-    give: () => void
+    onSettled: () => void
   ): void {
-    this.ask(
+    this.callWithTimeout(
       RPC_TIMEOUT_MS * 3,
       () =>
         this.controlUp
@@ -234,72 +242,73 @@
               settlement,
             })
           : undefined,
-      give
+      onSettled
     );
   }
 
   dispatch(
-    call: ModelCall,
+    call: CallSubmission,
     target: OnceTarget,
     attempt: number,
-    give: (event: OnceEvent) => void
+    onEvent: (event: OnceEvent) => void
   ): void {
     const agent = this.agentOf(target);
-    if (!agent.up) return give(refused('target-unreachable'));
-    let open = true;
+    if (!agent.up) return onEvent(refused('target-unreachable'));
+    let isPending = true;
     const finish = (event: OnceEvent) => {
-      if (!open) return;
-      open = false;
-      give(event);
+      if (!isPending) return;
+      isPending = false;
+      onEvent(event);
     };
-    this.time.after(Math.max(1, call.deadlineAt - this.time.now), () =>
+    this.timeline.after(Math.max(1, call.deadlineAt - this.timeline.now), () =>
       finish(refused('outcome-unknown'))
     );
-    // A dispatch is one request on one TCP connection, written once: it can be
-    // late or lost, but a second copy of it cannot arrive.
-    const arrive = () => this.arrive(agent, call, target, attempt, finish);
-    this.message(arrive, false);
+    // A dispatch is one request that is written once to one TCP connection: it
+    // can be late or lost, but never arrive twice.
+    const deliver = () =>
+      this.handleDispatch(agent, call, target, attempt, finish);
+    this.sendMessage(deliver, false);
   }
 
-  private arrive(
-    agent: ModelAgent,
-    call: ModelCall,
+  private handleDispatch(
+    agent: SimulatedAgent,
+    call: CallSubmission,
     target: OnceTarget,
     attempt: number,
     finish: (event: OnceEvent) => void
   ): void {
     if (!agent.up) return;
-    const reply = (event: OnceEvent) => this.message(() => finish(event));
+    const reply = (event: OnceEvent) => this.sendMessage(() => finish(event));
     if (agent.bootId !== target.agentBootId)
       return reply(refused('target-changed'));
     const claimId = claimIdOf(CUSTOMER, call.key, attempt);
-    const verdict = agent.guard.begin(claimId);
-    if (verdict === 'fenced') return reply(refused('claim-fenced'));
-    if (verdict !== 'run') return reply(refused('in-progress'));
+    const decision = agent.guard.begin(claimId);
+    if (decision === 'fenced') return reply(refused('claim-fenced'));
+    if (decision !== 'run') return reply(refused('in-progress'));
     if (this.random.chance(0.1)) {
       agent.guard.release(claimId);
       return reply(refused('target-unreachable'));
     }
-    this.runAt(agent, call, claimId, reply);
+    this.runAtTarget(agent, call, claimId, reply);
   }
 
-  /** The target runs on even when its agent dies meanwhile. */
-  private runAt(
-    agent: ModelAgent,
-    call: ModelCall,
+  /** The target finishes its run even if its agent dies meanwhile. */
+  private runAtTarget(
+    agent: SimulatedAgent,
+    call: CallSubmission,
     claimId: string,
     reply: (event: OnceEvent) => void
   ): void {
     const {guard, boot} = agent;
-    const lost = this.random.chance(0.15);
-    this.time.within(1, 4_000, () => {
-      const run = this.runs.push({key: call.key, callId: call.callId});
+    const isResponseLost = this.random.chance(0.15);
+    this.timeline.within(1, 4_000, () => {
+      const runNumber = this.runs.push({key: call.key, callId: call.callId});
       const answer: RecordedAnswer = {
         status: 201,
         headers: [],
-        bodyBase64: String(run),
+        bodyBase64: String(runNumber),
       };
-      if (lost) {
+      if (isResponseLost) {
         guard.finish(claimId);
         return reply(refused('outcome-unknown'));
       }
@@ -308,39 +317,39 @@
     });
   }
 
-  askAgent(
-    call: ModelCall,
+  fenceAtAgent(
+    call: CallSubmission,
     target: OnceTarget,
     attempt: number,
-    give: (event: OnceEvent) => void
+    onEvent: (event: OnceEvent) => void
   ): void {
     const agent = this.agentOf(target);
-    this.ask<AskResult>(
+    this.callWithTimeout<AskResult>(
       RPC_TIMEOUT_MS,
       () => {
         if (!agent.up) return undefined;
         if (agent.bootId !== target.agentBootId) return {kind: 'other boot'};
         return agent.guard.fence(claimIdOf(CUSTOMER, call.key, attempt));
       },
-      result => give({kind: 'asked', result: result ?? {kind: 'no answer'}})
+      result => onEvent({kind: 'asked', result: result ?? {kind: 'no answer'}})
     );
   }
 
-  end(ended: Ended): void {
+  recordEnd(ended: SubmissionEnd): void {
     this.ended.push(ended);
   }
 
-  later(ms: number, run: () => void): void {
-    this.time.after(ms, run);
+  runAfter(ms: number, run: () => void): void {
+    this.timeline.after(ms, run);
   }
 
   get now(): number {
-    return this.time.now;
+    return this.timeline.now;
   }
 
-  private agentOf({targetId}: OnceTarget): ModelAgent {
+  private agentOf({targetId}: OnceTarget): SimulatedAgent {
     const agent = this.agents.find(one => one.id === targetId);
-    if (agent === undefined) throw new Error(`no agent beside ${targetId}`);
+    if (agent === undefined) throw new Error(`no agent of target ${targetId}`);
     return agent;
   }
 }
@@ -352,12 +361,12 @@
   };
 }
 
-/** At most once, and "not run" means not run. */
+/** Checks that calls run at most once and that "not run" is true. */
 export const ONCE_MODEL: FuzzModel = {
   name: 'once',
   run(seed) {
-    const world = new OnceWorld(seed);
+    const world = new OnceSimulation(seed);
     world.run();
-    checkOnce(world);
+    checkAtMostOnce(world);
   },
 };
--- a/bench/fuzz/onceModelCall.ts
+++ b/bench/fuzz/onceModelCall.ts
@@ -1,4 +1,4 @@
-/** One sending of a call under a key, decided by the shipped machine. */
+/** One submission of a call under a key, decided by the `OnceMachine`. */
 
 import {
   OnceAction,
@@ -6,14 +6,14 @@
   OnceMachine,
   OnceTarget,
 } from '../../src/entry/onceMachine';
-import type {Ended} from './onceHistory';
+import type {SubmissionEnd} from './onceHistory';
 
 const MAX_ATTEMPTS = 3;
 
-type Give = (event: OnceEvent) => void;
+type EventHandler = (event: OnceEvent) => void;
 
-/** What a sending needs of the world around it. */
-export interface OnceSurroundings {
+/** Control, agents and clock, as a submission uses them. */
+export interface OnceEnvironment {
   readonly now: number;
   entryBoot(entry: number): number;
   pickTarget(tried: ReadonlySet<string>): OnceTarget | undefined;
@@ -21,104 +21,117 @@
     key: string,
     requestId: string,
     target: OnceTarget,
-    leftMs: number,
-    give: Give
+    remainingMs: number,
+    onEvent: EventHandler
   ): void;
-  lookup(key: string, give: Give): void;
+  lookup(key: string, onEvent: EventHandler): void;
   dispatch(
-    call: ModelCall,
+    call: CallSubmission,
     target: OnceTarget,
     attempt: number,
-    give: Give
+    onEvent: EventHandler
   ): void;
-  askAgent(
-    call: ModelCall,
+  fenceAtAgent(
+    call: CallSubmission,
     target: OnceTarget,
     attempt: number,
-    give: Give
+    onEvent: EventHandler
   ): void;
   settle(
     key: string,
     attempt: number,
     settlement: Extract<OnceAction, {kind: 'settle'}>['settlement'],
-    give: () => void
+    onSettled: () => void
   ): void;
-  later(ms: number, run: () => void): void;
-  end(ended: Ended): void;
+  runAfter(ms: number, run: () => void): void;
+  recordEnd(ended: SubmissionEnd): void;
 }
 
-/** One sending at one entry; it stops where it is when the entry dies. */
-export class ModelCall {
+/** One submission at one entry; it ends without a result if the entry dies. */
+export class CallSubmission {
   private readonly machine: OnceMachine;
   private readonly boot: number;
   private claims = 0;
 
   constructor(
-    private readonly world: OnceSurroundings,
+    private readonly environment: OnceEnvironment,
     private readonly entry: number,
     readonly key: string,
     readonly callId: string,
     readonly deadlineAt: number
   ) {
     this.machine = new OnceMachine(`entry-${entry}`, MAX_ATTEMPTS);
-    this.boot = world.entryBoot(entry);
+    this.boot = environment.entryBoot(entry);
   }
 
   start(): void {
     this.perform(this.machine.start());
   }
 
-  private readonly give = (event: OnceEvent): void => {
-    if (this.world.entryBoot(this.entry) !== this.boot) return;
+  private readonly handleEvent = (event: OnceEvent): void => {
+    if (this.environment.entryBoot(this.entry) !== this.boot) return;
     this.perform(this.machine.next(event));
   };
 
   private perform(action: OnceAction): void {
-    const {world, key, callId} = this;
+    const {environment, key, callId} = this;
     switch (action.kind) {
       case 'route':
         return this.route(action.tried);
       case 'claim':
-        return world.claim(
+        return environment.claim(
           key,
           `${callId}/${++this.claims}`,
           action.target,
-          this.deadlineAt - world.now,
-          this.give
+          this.deadlineAt - environment.now,
+          this.handleEvent
         );
       case 'lookup':
-        return world.lookup(key, this.give);
+        return environment.lookup(key, this.handleEvent);
       case 'dispatch':
-        return world.dispatch(this, action.target, action.attempt, this.give);
+        return environment.dispatch(
+          this,
+          action.target,
+          action.attempt,
+          this.handleEvent
+        );
       case 'ask':
-        return world.askAgent(this, action.target, action.attempt, this.give);
+        return environment.fenceAtAgent(
+          this,
+          action.target,
+          action.attempt,
+          this.handleEvent
+        );
       case 'settle':
-        return world.settle(key, action.attempt, action.settlement, () =>
-          this.give({kind: 'settled'})
+        return environment.settle(key, action.attempt, action.settlement, () =>
+          this.handleEvent({kind: 'settled'})
         );
       case 'wait':
-        return world.later(action.ms, () => this.give({kind: 'waited'}));
+        return environment.runAfter(action.ms, () =>
+          this.handleEvent({kind: 'waited'})
+        );
       case 'answer':
         if (action.settleAttempt !== undefined) {
-          world.settle(
+          environment.settle(
             key,
             action.settleAttempt,
             {kind: 'answered', answer: action.answer},
             () => undefined
           );
         }
-        world.end({callId, key, end: action});
+        environment.recordEnd({callId, key, end: action});
         return;
       case 'refuse':
-        world.end({callId, key, end: action});
+        environment.recordEnd({callId, key, end: action});
         return;
     }
   }
 
   private route(tried: ReadonlySet<string>): void {
-    if (this.world.now >= this.deadlineAt) return this.give({kind: 'deadline'});
-    const target = this.world.pickTarget(tried);
-    this.give(
+    if (this.environment.now >= this.deadlineAt)
+      return this.handleEvent({kind: 'deadline'});
+    const target = this.environment.pickTarget(tried);
+    this.handleEvent(
       target === undefined
         ? {kind: 'no target', detail: 'all tried'}
         : {kind: 'routed', target}
--- a/bench/fuzz/queueModel.ts
+++ b/bench/fuzz/queueModel.ts
@@ -1,6 +1,7 @@
 /**
- * Seeded schedules against the fair queue: bounded, work-conserving but for
- * the reserved slots, no starvation, each item ends once, deadlines at once.
+ * Checks the fair queue under seeded schedules: its bounds hold, no slots but
+ * the reserved ones stay free while items wait, no customer starves, each item
+ * leaves the queue once, and expired items leave it immediately.
  */
 
 import {FairQueue, type QueueItem} from '../../src/policy/fairQueue';
@@ -12,10 +13,10 @@
 const MAX_PER_CUSTOMER = 10;
 const MAX_COST = 20;
 const MAX_SHARE = 4;
-/** Most of the slots that may stay free while somebody waits. */
-const RESERVED_PART = 0.25;
-/** Items of the largest cost that credit and rounding may put ahead. */
-const STARVATION_ITEMS = 12;
+/** Largest share of the slots that may stay free while items wait. */
+const RESERVED_SHARE = 0.25;
+/** Items of the largest cost that credit and rounding may let pass first. */
+const MAX_ITEMS_AHEAD = 12;
 
 type Item = QueueItem<undefined>;
 
@@ -24,15 +25,15 @@
   readonly share: number;
   readonly concurrentLimit: number | undefined;
   running: number;
-  /** Cost that others got while this one could have been served. */
-  passedOver: number;
+  /** Cost served for other customers while this one could have been served. */
+  passedOverCost: number;
 }
 
-function check(held: boolean, promise: string): void {
-  if (!held) throw new Error(promise);
+function assertInvariant(condition: boolean, violation: string): void {
+  if (!condition) throw new Error(violation);
 }
 
-class QueueRun {
+class QueueSimulation {
   private readonly queue = new FairQueue<undefined>({
     maxQueued: MAX_QUEUED,
     maxQueuedPerCustomer: MAX_PER_CUSTOMER,
@@ -55,7 +56,7 @@
         ? this.random.int(1, 3)
         : undefined,
       running: 0,
-      passedOver: 0,
+      passedOverCost: 0,
     }));
   }
 
@@ -98,15 +99,25 @@
       payload: undefined,
     };
     const result = this.queue.offer(item, this.now);
-    const dead = item.deadlineAt <= this.now;
-    check(!dead || result.kind === 'refused', `${item.id} queued when dead`);
+    const isExpired = item.deadlineAt <= this.now;
+    assertInvariant(
+      !isExpired || result.kind === 'refused',
+      `${item.id} was queued after its deadline`
+    );
     if (result.kind === 'queued') this.waiting.set(item.id, item);
-    else check(result.retryAfterMs > 0, 'a refusal without a retry time');
-    check(this.queue.size === this.waiting.size, 'size differs');
-    check(this.queue.size <= MAX_QUEUED, 'more queued than the bound');
-    check(
+    else
+      assertInvariant(result.retryAfterMs > 0, 'a refusal has no retry time');
+    assertInvariant(
+      this.queue.size === this.waiting.size,
+      'the size of the queue is wrong'
+    );
+    assertInvariant(
+      this.queue.size <= MAX_QUEUED,
+      'more items are queued than the limit allows'
+    );
+    assertInvariant(
       this.waitingOf(customer).length <= MAX_PER_CUSTOMER,
-      `${customer} has more queued than its bound`
+      `${customer} has more items queued than its limit allows`
     );
   }
 
@@ -114,13 +125,16 @@
     const due = [...this.waiting.values()].filter(
       item => item.deadlineAt <= this.now
     );
-    check(
+    assertInvariant(
       due.length === 0 || this.queue.nextExpiryAt() <= this.now,
-      'the next expiry is told too late'
+      'the next expiry is reported too late'
     );
     const expired = this.queue.expire(this.now);
-    check(expired.length === due.length, 'an expired item got no answer');
-    for (const item of expired) this.leave(item, 'expired');
+    assertInvariant(
+      expired.length === due.length,
+      'an expired item was not returned'
+    );
+    for (const item of expired) this.removeWaiting(item, 'expired');
   }
 
   private takeAll(): void {
@@ -128,22 +142,25 @@
       const free = this.slots - this.running.length;
       const item = this.queue.take(this.now, free);
       if (item === undefined) {
-        this.checkConserving(free);
+        this.checkWorkConserving(free);
         return;
       }
-      check(free > 0, 'taken with no free slot');
-      this.begin(item);
+      assertInvariant(free > 0, 'an item was taken without a free slot');
+      this.startItem(item);
     }
   }
 
-  private begin(item: Item): void {
-    this.leave(item, 'taken');
-    check(item.deadlineAt > this.now, `${item.id} taken past its deadline`);
-    const owner = this.owner(item);
-    owner.running++;
-    check(
-      owner.running <= (owner.concurrentLimit ?? Infinity),
-      `${owner.customer} runs more than its limit`
+  private startItem(item: Item): void {
+    this.removeWaiting(item, 'taken');
+    assertInvariant(
+      item.deadlineAt > this.now,
+      `${item.id} was taken after its deadline`
+    );
+    const owningCustomer = this.customerOf(item);
+    owningCustomer.running++;
+    assertInvariant(
+      owningCustomer.running <= (owningCustomer.concurrentLimit ?? Infinity),
+      `${owningCustomer.customer} runs more items than its limit allows`
     );
     this.running.push(item);
     this.countPassedOver(item);
@@ -152,21 +169,24 @@
   private countPassedOver(served: Item): void {
     for (const customer of this.customers) {
       if (customer.customer === served.customer || !this.isEligible(customer)) {
-        customer.passedOver = 0;
+        customer.passedOverCost = 0;
         continue;
       }
-      customer.passedOver += served.cost;
+      customer.passedOverCost += served.cost;
       const others = this.customers.length - 1;
-      const most =
-        others * MAX_COST * (MAX_SHARE / customer.share + STARVATION_ITEMS);
-      check(customer.passedOver <= most, `${customer.customer} starves`);
+      const maxPassedOverCost =
+        others * MAX_COST * (MAX_SHARE / customer.share + MAX_ITEMS_AHEAD);
+      assertInvariant(
+        customer.passedOverCost <= maxPassedOverCost,
+        `${customer.customer} starves`
+      );
     }
   }
 
-  private checkConserving(free: number): void {
-    if (free <= Math.floor(this.slots * RESERVED_PART)) return;
+  private checkWorkConserving(free: number): void {
+    if (free <= Math.floor(this.slots * RESERVED_SHARE)) return;
     const eligible = this.customers.filter(c => this.isEligible(c));
-    check(
+    assertInvariant(
       eligible.length === 0,
       `${eligible[0]?.customer} waits while ${free} slots are free`
     );
@@ -181,7 +201,7 @@
   private finish(): void {
     const item = this.running.shift();
     if (item === undefined) return;
-    this.owner(item).running--;
+    this.customerOf(item).running--;
     this.queue.finished(item.customer);
     this.queue.served(item.cost, this.random.int(1, 50));
   }
@@ -189,25 +209,31 @@
   private remove(): void {
     const item = [...this.waiting.values()][0];
     if (item === undefined) return;
-    check(this.queue.remove(item.id) === item, 'removed another item');
-    this.leave(item, 'removed');
+    assertInvariant(
+      this.queue.remove(item.id) === item,
+      'another item was removed'
+    );
+    this.removeWaiting(item, 'removed');
   }
 
-  /** With no new offers, all that waits is served in the end. */
+  /** Without new offers all waiting items must be served. */
   private drain(): void {
     while (this.running.length > 0) {
       this.finish();
       this.takeAll();
     }
     this.takeAll();
-    check(this.waiting.size === 0, 'an item waits for ever');
+    assertInvariant(this.waiting.size === 0, 'an item is never served');
   }
 
-  private leave(item: Item, how: string): void {
-    check(this.waiting.delete(item.id), `${item.id} ${how} a second time`);
+  private removeWaiting(item: Item, how: string): void {
+    assertInvariant(
+      this.waiting.delete(item.id),
+      `${item.id} was ${how} a second time`
+    );
   }
 
-  private owner(item: Item): Customer {
+  private customerOf(item: Item): Customer {
     return this.customers.find(c => c.customer === item.customer)!;
   }
 
@@ -218,8 +244,8 @@
   }
 }
 
-/** The model. */
+/** Checks the fair queue. */
 export const QUEUE_MODEL: FuzzModel = {
   name: 'queue',
-  run: seed => new QueueRun(seed).run(),
+  run: seed => new QueueSimulation(seed).run(),
 };
--- a/bench/fuzz/rampModel.ts
+++ b/bench/fuzz/rampModel.ts
@@ -1,6 +1,7 @@
 /**
- * Seeded schedules against the cold-start ramp: it never passes the rule,
- * never jumps, gains nothing from idle time or strain, and falls to the start.
+ * Checks the cold-start ramp under seeded schedules: its limit stays within the
+ * rule, grows gradually, does not grow while the target is idle or slow, and
+ * falls to the start when the target turns cold.
  */
 
 import {
@@ -16,27 +17,27 @@
 import {SeededRandom} from './schedule';
 
 const STEPS = 300;
-/** Slope of the square at its end, over that of a straight line. */
-const STEEPEST = 2;
-const ROUNDING = 1e-6;
+/** Largest slope of a quadratic ramp, as a multiple of the linear slope. */
+const MAX_SLOPE_RATIO = 2;
+const ROUNDING_TOLERANCE = 1e-6;
 
-function check(held: boolean, promise: string): void {
-  if (!held) throw new Error(promise);
+function assertInvariant(condition: boolean, violation: string): void {
+  if (!condition) throw new Error(violation);
 }
 
-class RampRun {
+class RampSimulation {
   private readonly random: SeededRandom;
   private rule: WarmupLimits;
   private state: RampState;
   private now = 0;
   private coldAt = 0;
   private ruleChanged = false;
-  /** The limit after the last good answer. */
-  private shownLimit = 0;
+  /** The limit after the last response. */
+  private provenLimit = 0;
 
   constructor(seed: number) {
     this.random = new SeededRandom(seed);
-    this.rule = this.drawRule();
+    this.rule = this.randomRule();
     this.state = freshRamp(this.now);
   }
 
@@ -44,18 +45,21 @@
     for (let step = 0; step < STEPS; step++) {
       this.now += this.random.int(0, 500);
       const kind = this.random.int(0, 99);
-      if (kind < 90) this.serve();
+      if (kind < 90) this.serveRequest();
       else if (kind < 95) this.turnCold();
       else this.changeRule();
-      check(this.limit() >= 1, 'the limit shuts the target out');
-      check(
+      assertInvariant(
+        this.limit() >= 1,
+        'the limit is below 1 and excludes the target'
+      );
+      assertInvariant(
         this.limit() <= Math.max(1, this.rule.full),
-        'the limit passes the rule'
+        'the limit exceeds the rule'
       );
     }
   }
 
-  private serve(): void {
+  private serveRequest(): void {
     const before = this.state.level ?? this.rule.start;
     const limit = this.limit();
     const elapsed = this.now - this.state.creditedAtMs;
@@ -67,48 +71,52 @@
     };
     this.state = rampServed(this.state, this.rule, sample);
     const after = this.state.level ?? this.rule.start;
-    this.shownLimit = this.limit();
+    this.provenLimit = this.limit();
     const span = Math.max(this.rule.full - this.rule.start, 0);
-    const most = (STEEPEST * span * Math.max(0, elapsed)) / this.rule.overMs;
+    const maxGrowth =
+      (MAX_SLOPE_RATIO * span * Math.max(0, elapsed)) / this.rule.overMs;
     if (span > 0)
-      check(after <= before + most + ROUNDING, 'the limit jumps under load');
-    const useless = sample.outstanding === 0 || sample.slowdown > 2.2;
-    check(
-      !useless || after <= before + ROUNDING,
-      'the limit grows while idle or strained'
+      assertInvariant(
+        after <= before + maxGrowth + ROUNDING_TOLERANCE,
+        'the limit grows too fast under load'
+      );
+    const mustNotGrow = sample.outstanding === 0 || sample.slowdown > 2.2;
+    assertInvariant(
+      !mustNotGrow || after <= before + ROUNDING_TOLERANCE,
+      'the limit grows while the target is idle or slow'
     );
-    this.checkShortestTime();
+    this.checkMinWarmup();
   }
 
-  /** From cold to full takes the rule's time at least. */
-  private checkShortestTime(): void {
+  /** The ramp from cold to full must take at least the time of the rule. */
+  private checkMinWarmup(): void {
     if (this.ruleChanged || this.rule.full <= this.rule.start) return;
-    const full = (this.state.level ?? 0) >= this.rule.full - ROUNDING;
-    check(
-      !full || this.now - this.coldAt >= this.rule.overMs - ROUNDING,
-      'full sooner than the rule allows'
+    const full = (this.state.level ?? 0) >= this.rule.full - ROUNDING_TOLERANCE;
+    assertInvariant(
+      !full || this.now - this.coldAt >= this.rule.overMs - ROUNDING_TOLERANCE,
+      'the ramp reaches full before the time of the rule'
     );
   }
 
   private turnCold(): void {
     this.state = rampCold(this.state, this.now);
     this.coldAt = this.now;
-    this.shownLimit = 0;
+    this.provenLimit = 0;
     this.ruleChanged = false;
-    check(
+    assertInvariant(
       this.limit() <= Math.max(1, this.rule.start),
-      'a cold target gets more than the start'
+      'a cold target has a limit above the start'
     );
   }
 
   private changeRule(): void {
     const before = this.limit();
     this.state = rampRuleChanged(this.state, this.rule, this.now);
-    this.rule = this.drawRule();
+    this.rule = this.randomRule();
     this.ruleChanged = true;
-    check(
-      this.limit() <= Math.max(before, this.shownLimit),
-      'a rule lifts the limit over what the target has shown to bear'
+    assertInvariant(
+      this.limit() <= Math.max(before, this.provenLimit),
+      'a changed rule raises the limit above the load that the target has served'
     );
   }
 
@@ -116,7 +124,7 @@
     return rampLimit(this.state, this.rule, this.now);
   }
 
-  private drawRule(): WarmupLimits {
+  private randomRule(): WarmupLimits {
     const start = this.random.int(1, 16);
     return {
       start,
@@ -126,8 +134,8 @@
   }
 }
 
-/** The model. */
+/** Checks the cold-start ramp. */
 export const RAMP_MODEL: FuzzModel = {
   name: 'ramp',
-  run: seed => new RampRun(seed).run(),
+  run: seed => new RampSimulation(seed).run(),
 };
--- a/bench/fuzz/schedule.ts
+++ b/bench/fuzz/schedule.ts
@@ -1,9 +1,9 @@
-/** A seeded scheduler of messages and faults, for state machines without I/O. */
+/** Seeded random numbers and a simulated network for state machines without I/O. */
 
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 
-/** Seeded random numbers; the same seed gives the same run anywhere. */
+/** Random numbers that are the same for a seed on every machine. */
 export class SeededRandom {
   private readonly generator;
 
@@ -11,12 +11,12 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   int(low: number, high: number): number {
     return uniformInt(this.generator, low, high);
   }
 
-  /** A number from 0 to below 1. */
+  /** Returns a number from 0 inclusive to 1 exclusive. */
   next(): number {
     return this.int(0, 0x3fffffff) / 0x40000000;
   }
@@ -27,20 +27,20 @@
 
   pick<T>(items: readonly T[]): T {
     const item = items[this.int(0, items.length - 1)];
-    if (item === undefined) throw new Error('nothing to pick from');
+    if (item === undefined) throw new Error('cannot pick from an empty list');
     return item;
   }
 }
 
-/** How often the network misbehaves, each from 0 to 1. */
+/** Faults of the network; `drop` and `duplicate` are probabilities from 0 to 1. */
 export interface NetworkFaults {
   readonly drop: number;
   readonly duplicate: number;
-  /** Most virtual milliseconds that a message may be late. */
+  /** Longest delay of a message in virtual milliseconds. */
   readonly maxDelayMs: number;
 }
 
-interface Scheduled<M> {
+interface ScheduledMessage<M> {
   readonly at: number;
   readonly order: number;
   readonly from: string;
@@ -48,12 +48,12 @@
   readonly message: M;
 }
 
-/** Messages in flight over virtual time; delays reorder them. */
+/** Messages in flight over virtual time; random delays reorder them. */
 export class Network<M> {
-  private queue: Scheduled<M>[] = [];
+  private queue: ScheduledMessage<M>[] = [];
   private order = 0;
-  /** Directed links that lose everything: `from>to`. */
-  private readonly cuts = new Set<string>();
+  /** Directed links that lose all messages, as `from>to`. */
+  private readonly cutLinks = new Set<string>();
   now = 0;
 
   constructor(
@@ -62,23 +62,26 @@
   ) {}
 
   send(from: string, to: string, message: M): void {
-    if (this.cuts.has(`${from}>${to}`) || this.random.chance(this.faults.drop))
+    if (
+      this.cutLinks.has(`${from}>${to}`) ||
+      this.random.chance(this.faults.drop)
+    )
       return;
     this.schedule(from, to, message);
     if (this.random.chance(this.faults.duplicate))
       this.schedule(from, to, message);
   }
 
-  /** Cuts one direction only; call twice for both. */
+  /** Cuts the link in one direction; call twice to cut both. */
   cut(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+    this.cutLinks.add(`${from}>${to}`);
   }
 
   heal(): void {
-    this.cuts.clear();
+    this.cutLinks.clear();
   }
 
-  /** Advances the time and returns what arrives until then, in order. */
+  /** Advances the time and returns the messages due, in order of arrival. */
   advance(ms: number): readonly {
     readonly from: string;
     readonly to: string;
--- a/bench/fuzz/streamModel.ts
+++ b/bench/fuzz/streamModel.ts
@@ -1,7 +1,7 @@
 /**
- * Streams that are lost, repeated, cut at any byte and resumed elsewhere, under
- * a seed. Checks that a caller sees every token of one answer once and in
- * order up to its end, or is told that the stream was cut.
+ * Streams that are lost, duplicated, cut at any byte and resumed at another
+ * target, under seeded schedules. Checks that a caller receives every token of
+ * one response once and in order to its end, or is told that the stream was cut.
  */
 
 import {StreamMachine, StreamNext} from '../../src/entry/chat/streamMachine';
@@ -13,15 +13,15 @@
 const VERSIONS = ['v1', 'v2'];
 const DONE_EVENT = 'data: [DONE]\n\n';
 
-/** How a source misbehaves. */
+/** Fault of one source, which is one connection to a target. */
 type Fault =
   | 'none'
   | 'cut'
   | 'end early'
   | 'skip'
-  | 'start anew'
+  | 'start too early'
   | 'error event'
-  | 'short answer'
+  | 'short response'
   | 'no ids';
 
 const FAULTS: readonly Fault[] = [
@@ -30,14 +30,14 @@
   'cut',
   'end early',
   'skip',
-  'start anew',
+  'start too early',
   'error event',
-  'short answer',
+  'short response',
   'no ids',
 ];
 
 function tokenEvent(version: string, index: number, total: number): string {
-  // Three bytes a character, so that cuts fall within characters too.
+  // Characters of three bytes, so that some cuts fall inside a character.
   const content = `${version}-${index}-\u20ac\u20ac`;
   const finish_reason = index + 1 === total ? 'stop' : null;
   const choices = [{delta: {content}, finish_reason}];
@@ -45,7 +45,7 @@
   return `id: ${index}\ndata: ${JSON.stringify(chunk)}\n\n`;
 }
 
-/** Everything that one source sends, before it is cut into chunks. */
+/** All that one source sends, before it is split into chunks. */
 function sourceText(
   random: SeededRandom,
   version: string,
@@ -53,15 +53,15 @@
   total: number,
   fault: Fault
 ): string {
-  const start = fault === 'start anew' ? random.int(0, from) : from;
-  const end = fault === 'short answer' ? random.int(0, total) : total;
+  const start = fault === 'start too early' ? random.int(0, from) : from;
+  const end = fault === 'short response' ? random.int(0, total) : total;
   const events = random.chance(0.5)
     ? [`data: {"choices":[{"delta":{"role":"assistant"}}]}\n\n`]
     : [];
   for (let index = start; index < end; index++) {
     if (random.chance(0.1)) events.push(': alive\n\n');
     events.push(tokenEvent(version, index, total));
-    // Without ids a repetition cannot be seen, by us or by the caller.
+    // Without ids neither the machine nor the caller can detect a duplicate.
     if (fault !== 'no ids' && random.chance(0.1))
       events.push(tokenEvent(version, index, total));
   }
@@ -75,8 +75,8 @@
   return fault === 'no ids' ? text.replace(/^id: \d+\n/gm, '') : text;
 }
 
-/** Feeds one source in chunks; returns what the machine made of it. */
-function feed(
+/** Feeds a source to the machine in chunks; returns its last decision. */
+function feedChunks(
   random: SeededRandom,
   machine: StreamMachine,
   bytes: Buffer,
@@ -97,7 +97,11 @@
   readonly end: 'done' | 'cut';
 }
 
-function relay(random: SeededRandom, from: number, total: number): Outcome {
+function simulateRelay(
+  random: SeededRandom,
+  from: number,
+  total: number
+): Outcome {
   const machine = new StreamMachine({
     fromToken: from,
     modelVersion: from > 0 ? 'v1' : undefined,
@@ -108,14 +112,18 @@
   let at = from;
   for (let source = 0; source < MAX_SOURCES; source++) {
     const version = random.chance(0.9) ? 'v1' : random.pick(VERSIONS);
-    // What was announced may be out of date, or not known.
-    const claimed = random.chance(0.8) ? 'v1' : undefined;
-    machine.opened(claimed);
+    // The announced version may be outdated or unknown.
+    const announcedVersion = random.chance(0.8) ? 'v1' : undefined;
+    machine.opened(announcedVersion);
     const fault = random.pick(FAULTS);
-    const all = Buffer.from(sourceText(random, version, at, total, fault));
+    const sourceBytes = Buffer.from(
+      sourceText(random, version, at, total, fault)
+    );
     const bytes =
-      fault === 'cut' ? all.subarray(0, random.int(0, all.length)) : all;
-    const next = feed(random, machine, bytes, part => (text += part));
+      fault === 'cut'
+        ? sourceBytes.subarray(0, random.int(0, sourceBytes.length))
+        : sourceBytes;
+    const next = feedChunks(random, machine, bytes, part => (text += part));
     if (next.kind === 'done') return {text, end: 'done'};
     if (next.kind !== 'lost') return {text, end: 'cut'};
     const decision = machine.lost(next.cause);
@@ -125,7 +133,7 @@
   return {text, end: 'cut'};
 }
 
-/** Tokens in the caller's text, as `version-index`. */
+/** Tokens that the caller received, as `version-index`. */
 function tokensIn(text: string): readonly string[] {
   return [...text.matchAll(/"content":"(v\d-\d+)-\u20ac\u20ac"/g)].map(
     match => match[1] ?? ''
@@ -133,50 +141,57 @@
 }
 
 function fail(detail: string, outcome: Outcome): never {
-  throw new Error(`${detail}; the caller had:\n${outcome.text}`);
+  throw new Error(`${detail}; the caller received:\n${outcome.text}`);
 }
 
-function check(outcome: Outcome, from: number, total: number): void {
+function checkOutcome(outcome: Outcome, from: number, total: number): void {
   const tokens = tokensIn(outcome.text);
   const version = tokens[0]?.split('-')[0] ?? 'v1';
   tokens.forEach((token, i) => {
-    const due = `${version}-${from + i}`;
-    if (token !== due) fail(`${token} where ${due} was due`, outcome);
+    const expected = `${version}-${from + i}`;
+    if (token !== expected)
+      fail(`received ${token} instead of ${expected}`, outcome);
   });
-  const ends = outcome.text.split(DONE_EVENT).length - 1;
+  const doneEvents = outcome.text.split(DONE_EVENT).length - 1;
   if (outcome.end === 'cut') {
-    if (ends > 0) fail('cut, but looks whole', outcome);
+    if (doneEvents > 0) fail('a cut stream has an end event', outcome);
     return;
   }
-  if (ends !== 1 || !outcome.text.endsWith(DONE_EVENT))
-    fail(`whole with ${ends} end events`, outcome);
+  if (doneEvents !== 1 || !outcome.text.endsWith(DONE_EVENT))
+    fail(
+      `a complete stream has ${doneEvents} end events or does not stop at the first`,
+      outcome
+    );
   if (outcome.text.split('"usage"').length > 2)
-    fail('the use was told twice', outcome);
+    fail('the token usage was sent twice', outcome);
   if (outcome.text.includes('event: error'))
-    fail('whole, with an error of a target', outcome);
+    fail('a complete stream contains an error event of a target', outcome);
   checkLength(tokens.length, from, total, outcome);
 }
 
 function checkLength(
-  seen: number,
+  tokenCount: number,
   from: number,
   total: number,
   outcome: Outcome
 ): void {
-  // A caller that resumes may have had all tokens but the end; a target that
-  // says just that cannot be told from one that forgot the rest.
-  if (from > 0 && seen === 0) return;
-  if (seen !== total - from)
-    fail(`whole with ${seen} tokens of ${total - from}`, outcome);
+  // A caller that resumes may lack nothing but the end event. A target that
+  // sends just that looks the same as one that lost the remaining tokens.
+  if (from > 0 && tokenCount === 0) return;
+  if (tokenCount !== total - from)
+    fail(
+      `a complete stream has ${tokenCount} tokens instead of ${total - from}`,
+      outcome
+    );
 }
 
-/** Every token once and in order, or an explicit end. */
+/** Checks that streams deliver each token once and in order, or report a cut. */
 export const STREAM_MODEL: FuzzModel = {
   name: 'stream',
   run(seed) {
     const random = new SeededRandom(seed);
     const total = random.int(1, MAX_TOKENS);
     const from = random.chance(0.2) ? random.int(0, total) : 0;
-    check(relay(random, from, total), from, total);
+    checkOutcome(simulateRelay(random, from, total), from, total);
   },
 };
