--- a/bench/emulator/choosers.ts
+++ b/bench/emulator/choosers.ts
@@ -1,4 +1,4 @@
-/** Ways to choose a target: ours, the baselines, and perfect knowledge. */
+/** Strategies to choose a target: the product, baselines, and a perfect oracle. */
 
 import {
   chooseTarget,
@@ -6,18 +6,18 @@
   type TargetView,
 } from '../../src/policy/balance';
 
-/** Names of the ways. */
+/** Names of the strategies. */
 export type ChooserName =
   'ours' | 'roundRobin' | 'leastOutstanding' | 'twoChoices' | 'perfect';
 
-/** Picks among views; undefined when none may take work. */
+/** Chooses one of the views; undefined if no target accepts work. */
 export type Chooser = (
   req: RoutedRequest,
   views: readonly TargetView[],
   random: () => number
 ) => TargetView | undefined;
 
-/** A chooser of its own for each entry; `perfect` is made by the cluster. */
+/** Creates the chooser of one entry; the cluster itself creates `perfect`. */
 export function makeChooser(name: Exclude<ChooserName, 'perfect'>): Chooser {
   switch (name) {
     case 'ours':
@@ -46,7 +46,8 @@
   let best: TargetView | undefined;
   for (const view of views) {
     if (view.limit <= 0) continue;
-    if (best === undefined || known(view) < known(best)) best = view;
+    if (best === undefined || estimateLoad(view) < estimateLoad(best))
+      best = view;
   }
   return best;
 }
@@ -60,11 +61,11 @@
   const first = usable[Math.floor(random() * usable.length)];
   const second = usable[Math.floor(random() * usable.length)];
   if (first === undefined || second === undefined) return undefined;
-  return known(first) <= known(second) ? first : second;
+  return estimateLoad(first) <= estimateLoad(second) ? first : second;
 }
 
-/** The last report, and what was sent since. */
-function known(view: TargetView): number {
+/** Load by the last report and the requests that were sent since. */
+function estimateLoad(view: TargetView): number {
   const reported = view.reportedOutstanding + view.reportedQueued;
   return Math.max(view.ownOutstanding, reported + view.ownSinceReport);
 }
--- a/bench/emulator/cluster.ts
+++ b/bench/emulator/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole deployment over virtual time: entries, gates, engines, reports. */
+/** Emulates a deployment in virtual time: entries, gates, engines and reports. */
 
 import type {RoutedRequest, TargetView} from '../../src/policy/balance';
 import type {WarmupLimits} from '../../src/policy/ramp';
@@ -8,7 +8,7 @@
 import {
   Entry,
   makeReport,
-  SILENCE_MS,
+  SILENCE_TIMEOUT_MS,
   type EmulatedTarget,
   type EntryOptions,
 } from './entry';
@@ -22,17 +22,17 @@
   type Workload,
 } from './workload';
 
-/** Sizes and distances of a deployment. */
+/** Sizes and network latencies of a deployment. */
 export interface DeploymentShape {
   readonly name: string;
   readonly zones: readonly string[];
   readonly targets: number;
   readonly entries: number;
-  /** One way between caller and entry. */
+  /** One-way latency between caller and entry. */
   readonly clientMs: number;
 }
 
-/** Three zones, a dozen engines, callers close by. */
+/** Three zones, twelve engines, and callers nearby. */
 export const SHANNONSIDE: DeploymentShape = {
   name: 'shannonside',
   zones: ['zone-a', 'zone-b', 'zone-c'],
@@ -41,14 +41,14 @@
   clientMs: 1,
 };
 
-/** The same with callers a few times farther. */
+/** The same, but callers are four times as far. */
 export const ABZEICHENWERK: DeploymentShape = {
   ...SHANNONSIDE,
   name: 'abzeichenwerk',
   clientMs: 4,
 };
 
-/** The share of one region in the size to design for. */
+/** One region of the largest deployment that the design must support. */
 export const LARGE: DeploymentShape = {
   ...SHANNONSIDE,
   name: 'large',
@@ -56,7 +56,7 @@
   entries: 8,
 };
 
-/** How a cluster decides. */
+/** Settings of one emulated cluster. */
 export interface ClusterOptions {
   readonly shape: DeploymentShape;
   readonly chooser: ChooserName;
@@ -65,7 +65,7 @@
     EntryOptions,
     'retries' | 'gradualReturn' | 'answersCarryLoad'
   >;
-  /** Reports arrive late by up to this. */
+  /** Longest delay of a load report. */
   readonly maxReportLagMs: number;
   readonly seed: number;
 }
@@ -77,7 +77,7 @@
   overMs: 30_000,
 };
 
-/** An engine that warms just as the rule says. */
+/** Cold start of an engine that warms up exactly as the warm-up rule expects. */
 export const COLD: ColdShape = {
   start: WARMUP.start,
   warmMs: WARMUP.overMs,
@@ -85,7 +85,7 @@
   restartMs: 5000,
 };
 
-/** All that ships, switched on. */
+/** The gate of the product with all features on. */
 export const OUR_GATE: GateOptions = {
   queue: 'fair',
   ramp: true,
@@ -93,15 +93,15 @@
   warmup: WARMUP,
 };
 
-const REPORT_EVERY_MS = 1000;
+const REPORT_INTERVAL_MS = 1000;
 const MIN_REPORT_LAG_MS = 50;
 const MAX_VIEWS = 24;
-/** The bound compares more, though not all of a thousand targets. */
+/** The perfect chooser compares more targets, but not all of a thousand. */
 const MAX_PERFECT_VIEWS = 96;
-const RULE_MIN_MS = 50;
-const RULE_MAX_MS = 2000;
+const MIN_RULE_DELAY_MS = 50;
+const MAX_RULE_DELAY_MS = 2000;
 
-/** Requests a second that one full engine answers. */
+/** Requests per second that a fully loaded engine completes. */
 export function engineCapacity(): number {
   const {full, baseStepMs, perSequenceMs, perPromptTokenMs} = ENGINE_SHAPE;
   const stepMs = baseStepMs + perSequenceMs * full;
@@ -109,7 +109,7 @@
   return (1000 * full) / (EXPECTED_OUTPUT * stepMs + full * promptMs);
 }
 
-/** One run. */
+/** One run of the emulation. */
 export class Cluster {
   readonly events = new EventQueue();
   readonly targets: readonly EmulatedTarget[];
@@ -130,24 +130,30 @@
     for (const load of workload.customers) this.scheduleArrival(load);
   }
 
-  /** An operator's change; each process learns it within two seconds. */
+  /** An operator's change; it reaches each process within two seconds. */
   setZoneOut(availabilityZone: string, out: boolean): void {
-    const learn = (action: () => void) =>
-      this.events.after(this.random.int(RULE_MIN_MS, RULE_MAX_MS), action);
+    const applyLater = (action: () => void) =>
+      this.events.after(
+        this.random.int(MIN_RULE_DELAY_MS, MAX_RULE_DELAY_MS),
+        action
+      );
     for (const entry of this.entries)
-      learn(() => entry.setZoneOut(availabilityZone, out));
+      applyLater(() => entry.setZoneOut(availabilityZone, out));
     for (const target of this.inZone(availabilityZone))
-      learn(() => target.gate.setZoneOut(out));
+      applyLater(() => target.gate.setZoneOut(out));
   }
 
-  /** Cuts a zone off without a word; entries notice the silence. */
+  /**
+   * Kills all targets of a zone without closing connections. Entries notice it
+   * by the silence timeout.
+   */
   killZone(availabilityZone: string): void {
     for (const {targetId, gate} of this.inZone(availabilityZone)) {
       gate.engine.kill(false);
       gate.restart();
       for (const entry of this.entries) {
-        const noticed = SILENCE_MS + this.random.int(0, 200);
-        this.events.after(noticed, () => entry.suspect(targetId));
+        const noticedAfterMs = SILENCE_TIMEOUT_MS + this.random.int(0, 200);
+        this.events.after(noticedAfterMs, () => entry.suspect(targetId));
       }
     }
   }
@@ -173,19 +179,19 @@
         gate: new Gate(this.events, engine, gate, true),
         inFlight: 0,
       };
-      this.watchSteps(target);
+      this.recordSteps(target);
       return target;
     });
   }
 
-  private watchSteps({gate}: EmulatedTarget): void {
+  private recordSteps({gate}: EmulatedTarget): void {
     const observe = gate.engine.onStep;
     gate.engine.onStep = step => {
       observe(step);
       const {now} = this.events;
       this.recorder.betweenTokens(now, step.durationMs, step.decoded);
     };
-    gate.onWork = (customer, cost) =>
+    gate.onWorkStarted = (customer, cost) =>
       this.recorder.work(customer, this.events.now, cost);
   }
 
@@ -193,7 +199,7 @@
     const {shape, chooser, entry} = this.options;
     return Array.from({length: shape.entries}, (_, index) => {
       const choose: Chooser =
-        chooser === 'perfect' ? this.perfect() : makeChooser(chooser);
+        chooser === 'perfect' ? this.perfectChooser() : makeChooser(chooser);
       const options: EntryOptions = {
         ...entry,
         availabilityZone: shape.zones[index % shape.zones.length]!,
@@ -213,7 +219,7 @@
 
   private startReports(target: EmulatedTarget): void {
     const tick = () => {
-      this.events.after(REPORT_EVERY_MS, tick);
+      this.events.after(REPORT_INTERVAL_MS, tick);
       if (!target.gate.engine.isAlive) return;
       const report = makeReport(target.gate, this.events.now);
       for (const entry of this.entries) {
@@ -224,7 +230,7 @@
         this.events.after(lag, () => entry.report(target.targetId, report));
       }
     };
-    this.events.after(this.random.int(0, REPORT_EVERY_MS), tick);
+    this.events.after(this.random.int(0, REPORT_INTERVAL_MS), tick);
   }
 
   private scheduleArrival(load: EmulatedRequest['load']): void {
@@ -236,15 +242,15 @@
     });
   }
 
-  /** The least predicted completion, from the true state of every engine. */
-  private perfect(): Chooser {
+  /** Predicts from the true state of the engines where a request ends first. */
+  private perfectChooser(): Chooser {
     const byId = new Map(this.targets.map(t => [t.targetId, t]));
     return (req, views) => {
       let best: TargetView | undefined;
       let bestMs = Infinity;
       for (const view of views) {
         if (view.limit <= 0) continue;
-        const ms = predictMs(req, view, byId.get(view.targetId)!);
+        const ms = predictCompletionMs(req, view, byId.get(view.targetId)!);
         if (ms >= bestMs) continue;
         best = view;
         bestMs = ms;
@@ -254,18 +260,19 @@
   }
 }
 
-function predictMs(
+function predictCompletionMs(
   req: RoutedRequest,
   view: TargetView,
   target: EmulatedTarget
 ): number {
   const {gate, inFlight} = target;
   const {baseStepMs, perSequenceMs, perPromptTokenMs} = gate.engine.shape;
-  const ahead = gate.outstanding + gate.queued + inFlight;
+  const requestsAhead = gate.outstanding + gate.queued + inFlight;
   const prompt = gate.engine.promptLeft + req.promptTokens - view.prefixTokens;
-  const stepMs = baseStepMs + perSequenceMs * ahead;
+  const stepMs = baseStepMs + perSequenceMs * requestsAhead;
   const queueMs =
-    (Math.max(0, ahead - gate.limit) * req.outputTokens * stepMs) / gate.limit;
+    (Math.max(0, requestsAhead - gate.limit) * req.outputTokens * stepMs) /
+    gate.limit;
   const runMs = prompt * perPromptTokenMs + req.outputTokens * stepMs;
   return (queueMs + runMs) * gate.engine.slow;
 }
--- a/bench/emulator/engine.ts
+++ b/bench/emulator/engine.ts
@@ -1,35 +1,40 @@
 /**
- * A model engine over virtual time: continuous batching in steps, chunked
- * prefill, a bounded prefix cache, and a cold start that falls over.
+ * Emulates an engine of a language model in virtual time: continuous batching
+ * in steps, chunked prefill, a bounded prefix cache, and crashes under too much
+ * load during a cold start.
  */
 
 import type {EventQueue} from './eventQueue';
 
-/** Speeds of an engine; a step is base + per sequence + per prompt token. */
+/**
+ * Speed and size of an engine. A step takes a base time plus a time for each
+ * sequence and each prompt token.
+ */
 export interface EngineShape {
   readonly baseStepMs: number;
   readonly perSequenceMs: number;
   readonly perPromptTokenMs: number;
-  /** Prompt tokens that one step takes in at most. */
+  /** Largest number of prompt tokens in one step. */
   readonly chunkTokens: number;
   readonly cachedPrefixes: number;
-  /** Requests at once on a warm engine. */
+  /** Concurrent requests on a warm engine. */
   readonly full: number;
 }
 
-/** How a cold engine warms; it falls over when it runs more than it bears. */
+/** How a cold engine warms up; it crashes above its present capacity. */
 export interface ColdShape {
+  /** Capacity of an engine that has just started, in concurrent requests. */
   readonly start: number;
-  /** Time under load until it bears all. */
+  /** Time under load until it has full capacity. */
   readonly warmMs: number;
-  /** 1: bearable work grows evenly; 2: slowly first. */
+  /** 1: capacity grows linearly; 2: slowly at first. */
   readonly exponent: number;
   readonly restartMs: number;
 }
 
-/** One request inside an engine. */
+/** One request that an engine runs. */
 export interface Sequence {
-  /** Prompts of a higher priority are taken in first. */
+  /** Prompts of a higher priority are prefilled first. */
   readonly priority: number;
   readonly prefixKey: string;
   readonly prefixTokens: number;
@@ -37,21 +42,21 @@
   outputLeft: number;
   readonly onFirstToken: () => void;
   readonly onDone: () => void;
-  /** The engine fell over, or its process was killed. */
+  /** Called when the engine crashes or is killed. */
   readonly onLost: () => void;
 }
 
-/** What is watched from beside the engine. */
+/** A finished step, as the gate observes it. */
 export interface StepEvent {
   readonly durationMs: number;
-  /** Sequences that got a token. */
+  /** Sequences that got a token in this step. */
   readonly decoded: number;
   readonly running: number;
-  /** Whether prompt tokens took part of the step. */
+  /** Whether the step included prompt tokens. */
   readonly prefilled: boolean;
 }
 
-/** Engine of today's deployments: about 2500 tokens a second when full. */
+/** Engine of present deployments: about 2500 tokens per second at full load. */
 export const ENGINE_SHAPE: EngineShape = {
   baseStepMs: 14,
   perSequenceMs: 0.18,
@@ -61,20 +66,20 @@
   full: 64,
 };
 
-/** Work over bearable from which a cold engine slows down. */
-const STRAIN_FROM = 0.6;
-/** Step time of an engine that runs all it can bear, over the usual one. */
-const MOST_STRAIN = 4;
+/** Ratio of load to capacity from which a cold engine slows down. */
+const STRAIN_THRESHOLD = 0.6;
+/** Slowdown of steps on an engine that runs at its capacity. */
+const MAX_STRAIN_FACTOR = 4;
 
-/** One engine. */
+/** One emulated engine. */
 export class Engine {
-  /** Step time over that of a usual engine. */
+  /** Factor on the step time; 1 for an engine of normal speed. */
   slow = 1;
-  /** Most work over bearable that it ever got while cold. */
+  /** Highest ratio of load to capacity so far; capacity is infinite when warm. */
   mostOverBearable = 0;
   falls = 0;
   onStep: (event: StepEvent) => void = () => undefined;
-  onFall: () => void = () => undefined;
+  onCrash: () => void = () => undefined;
   private readonly decoding = new Set<Sequence>();
   private readonly prefilling: Sequence[] = [];
   private readonly prefixes = new Map<string, true>();
@@ -98,12 +103,12 @@
     return this.alive;
   }
 
-  /** Whether connections to it are refused, rather than left open. */
+  /** Whether connections are refused; those to a silent engine hang. */
   get refuses(): boolean {
     return !this.alive && !this.silent;
   }
 
-  /** Tokens still to make, for a chooser with perfect knowledge. */
+  /** Output tokens still to produce, for a chooser with perfect knowledge. */
   get tokensLeft(): number {
     let total = 0;
     for (const sequence of this.decoding) total += sequence.outputLeft;
@@ -111,7 +116,7 @@
     return total;
   }
 
-  /** Prompt tokens still to take in. */
+  /** Prompt tokens still to prefill. */
   get promptLeft(): number {
     return this.prefilling.reduce((sum, item) => sum + item.promptLeft, 0);
   }
@@ -120,16 +125,16 @@
     return this.prefixes.has(key);
   }
 
-  /** Requests that it can bear now. */
+  /** Concurrent requests that it can run now; infinite when warm. */
   bearable(): number {
     if (this.cold === undefined) return Infinity;
-    const part = Math.min(1, this.warmedMs / this.cold.warmMs);
-    if (part === 1) return Infinity;
+    const progress = Math.min(1, this.warmedMs / this.cold.warmMs);
+    if (progress === 1) return Infinity;
     const {start, exponent} = this.cold;
-    return start + (this.shape.full - start) * Math.pow(part, exponent);
+    return start + (this.shape.full - start) * Math.pow(progress, exponent);
   }
 
-  /** Turns it cold in place; what it runs goes on. */
+  /** Makes the engine cold without a restart; running requests continue. */
   turnCold(cold: ColdShape): void {
     this.cold = cold;
     this.warmedMs = 0;
@@ -141,23 +146,23 @@
       if (!this.silent) this.events.after(0, sequence.onLost);
       return;
     }
-    const bearable = this.bearable();
-    const over = (this.running + 1) / bearable;
-    this.mostOverBearable = Math.max(this.mostOverBearable, over);
+    const capacity = this.bearable();
+    const loadRatio = (this.running + 1) / capacity;
+    this.mostOverBearable = Math.max(this.mostOverBearable, loadRatio);
     if (this.prefixes.has(sequence.prefixKey))
       sequence.promptLeft -= sequence.prefixTokens;
     this.touchPrefix(sequence.prefixKey);
     this.enqueue(sequence);
-    if (over > 1) {
-      this.fall();
+    if (loadRatio > 1) {
+      this.crash();
       return;
     }
     this.wake();
   }
 
-  /** Stops at once; what ran is lost, and callers learn it or not. */
-  kill(tellCallers: boolean): void {
-    this.silent = !tellCallers;
+  /** Stops immediately and loses all requests, with or without a signal. */
+  kill(notifyCallers: boolean): void {
+    this.silent = !notifyCallers;
     const lost = [...this.decoding, ...this.prefilling];
     this.decoding.clear();
     this.prefilling.length = 0;
@@ -165,7 +170,7 @@
     this.alive = false;
     this.stepping = false;
     this.boot++;
-    if (tellCallers) lost.forEach(sequence => sequence.onLost());
+    if (notifyCallers) lost.forEach(sequence => sequence.onLost());
   }
 
   revive(cold: ColdShape | undefined): void {
@@ -175,16 +180,16 @@
   }
 
   private enqueue(sequence: Sequence): void {
-    const place = this.prefilling.findIndex(
+    const position = this.prefilling.findIndex(
       other => other.priority < sequence.priority
     );
-    if (place < 0) this.prefilling.push(sequence);
-    else this.prefilling.splice(place, 0, sequence);
+    if (position < 0) this.prefilling.push(sequence);
+    else this.prefilling.splice(position, 0, sequence);
   }
 
-  private fall(): void {
+  private crash(): void {
     this.falls++;
-    this.onFall();
+    this.onCrash();
     this.kill(true);
     const cold = this.cold!;
     this.events.after(cold.restartMs, () => this.revive(cold));
@@ -198,29 +203,29 @@
 
   private beginStep(): void {
     const decoding = this.decoding.size;
-    const done = this.takeChunk();
+    const done = this.prefillChunk();
     const {baseStepMs, perSequenceMs, perPromptTokenMs} = this.shape;
-    const usual =
+    const usualMs =
       baseStepMs + perSequenceMs * decoding + perPromptTokenMs * done.tokens;
-    const durationMs = usual * this.slow * this.strain();
+    const durationMs = usualMs * this.slow * this.strainFactor();
     const boot = this.boot;
     this.events.after(durationMs, () => {
       if (boot === this.boot) this.endStep(durationMs, done);
     });
   }
 
-  private takeChunk(): {tokens: number; complete: readonly Sequence[]} {
-    let room = this.shape.chunkTokens;
+  private prefillChunk(): {tokens: number; complete: readonly Sequence[]} {
+    let tokenBudget = this.shape.chunkTokens;
     let count = 0;
     for (const sequence of this.prefilling) {
-      const taken = Math.min(room, sequence.promptLeft);
+      const taken = Math.min(tokenBudget, sequence.promptLeft);
       sequence.promptLeft -= taken;
-      room -= taken;
+      tokenBudget -= taken;
       if (sequence.promptLeft > 0) break;
       count++;
     }
     const complete = this.prefilling.splice(0, count);
-    return {tokens: this.shape.chunkTokens - room, complete};
+    return {tokens: this.shape.chunkTokens - tokenBudget, complete};
   }
 
   private endStep(
@@ -229,12 +234,13 @@
   ): void {
     const decoded = this.decoding.size;
     const running = this.running + done.complete.length;
-    this.warm(durationMs, running);
+    this.advanceWarmup(durationMs, running);
     const finished: Sequence[] = [];
     for (const sequence of this.decoding)
       if (--sequence.outputLeft <= 0) finished.push(sequence);
     for (const sequence of finished) this.decoding.delete(sequence);
-    for (const sequence of done.complete) this.firstToken(sequence, finished);
+    for (const sequence of done.complete)
+      this.startDecoding(sequence, finished);
     const prefilled = done.tokens > 0;
     this.onStep({durationMs, decoded, running, prefilled});
     const boot = this.boot;
@@ -244,25 +250,26 @@
     else this.stepping = false;
   }
 
-  private firstToken(sequence: Sequence, finished: Sequence[]): void {
+  private startDecoding(sequence: Sequence, finished: Sequence[]): void {
     sequence.outputLeft--;
     if (sequence.outputLeft <= 0) finished.push(sequence);
     else this.decoding.add(sequence);
     sequence.onFirstToken();
   }
 
-  private warm(durationMs: number, running: number): void {
+  private advanceWarmup(durationMs: number, running: number): void {
     if (this.cold === undefined) return;
-    const use = Math.min(1, (2 * running) / this.bearable());
-    this.warmedMs += durationMs * use;
+    const utilization = Math.min(1, (2 * running) / this.bearable());
+    this.warmedMs += durationMs * utilization;
     if (this.warmedMs >= this.cold.warmMs) this.cold = undefined;
   }
 
-  /** A cold engine slows before it falls over. */
-  private strain(): number {
-    const use = this.running / this.bearable();
-    const part = Math.max(0, use - STRAIN_FROM) / (1 - STRAIN_FROM);
-    return 1 + (MOST_STRAIN - 1) * Math.min(part, 2);
+  /** Factor on the step time: a cold engine slows down before it crashes. */
+  private strainFactor(): number {
+    const utilization = this.running / this.bearable();
+    const excess =
+      Math.max(0, utilization - STRAIN_THRESHOLD) / (1 - STRAIN_THRESHOLD);
+    return 1 + (MAX_STRAIN_FACTOR - 1) * Math.min(excess, 2);
   }
 
   private touchPrefix(key: string): void {
--- a/bench/emulator/entry.ts
+++ b/bench/emulator/entry.ts
@@ -1,4 +1,4 @@
-/** An emulated entry: its partial view of the targets, routing and retries. */
+/** Emulates an entry: its delayed view of the targets, routing and retries. */
 
 import {requestCost, type TargetView} from '../../src/policy/balance';
 import {
@@ -14,16 +14,16 @@
 import type {Recorder} from './recorder';
 import {EXPECTED_OUTPUT, type EmulatedRequest} from './workload';
 
-/** One target as the cluster knows it. */
+/** One target of the emulated cluster. */
 export interface EmulatedTarget {
   readonly targetId: string;
   readonly availabilityZone: string;
   readonly gate: Gate;
-  /** Attempts on the wire towards it, from all entries. */
+  /** Attempts of all entries that are on the network on their way to it. */
   inFlight: number;
 }
 
-/** A load report of a target's agent. */
+/** Load report of the agent of a target. */
 export interface LoadReport {
   readonly madeAt: number;
   readonly outstanding: number;
@@ -32,45 +32,45 @@
   readonly warm: boolean;
 }
 
-/** How an entry is set up. */
+/** Settings of an entry. */
 export interface EntryOptions {
   readonly availabilityZone: string;
   readonly clientMs: number;
   readonly retries: boolean;
   readonly gradualReturn: boolean;
-  /** Whether answers carry the load of the target, as dispatch reports do. */
+  /** Whether responses carry the load of the target, like dispatch reports. */
   readonly answersCarryLoad: boolean;
-  /** Views that are compared for one request. */
+  /** Largest number of targets that are compared for one request. */
   readonly maxViews: number;
 }
 
 const LOCAL_HOP_MS = 0.3;
 const REMOTE_HOP_MS = 0.8;
 const MAX_ATTEMPTS = 4;
-const RETRY_PERCENT = 10;
-/** Silence after which an entry takes the streams of a target for lost. */
-export const SILENCE_MS = 1000;
-/** About the time between two tokens. */
-const MEAN_STEP_MS = 22;
-const FAILURE_MEMORY_MS = 5000;
-const BELIEVED_PREFIXES = 40;
+const RETRY_BUDGET_PERCENT = 10;
+/** Silence after which an entry considers the streams of a target lost. */
+export const SILENCE_TIMEOUT_MS = 1000;
+/** Approximate time between two tokens of a stream. */
+const MEAN_TOKEN_INTERVAL_MS = 22;
+const FAILURE_WINDOW_MS = 5000;
+const MAX_TRACKED_PREFIXES = 40;
 
 /** One attempt at a target. */
 interface Attempt {
-  /** When its first token was made. */
+  /** Time of its first token at the target. */
   firstAt: number | undefined;
-  /** Ends it for good; false when it has ended before. */
+  /** Ends the attempt; false if it has already ended. */
   readonly end: () => boolean;
-  /** The stream moved last that long ago. */
+  /** Reports the loss of a stream that last moved `silentMs` ago. */
   readonly lose: (silentMs: number) => void;
 }
 
-/** What the entry keeps of one target. */
-class TargetMemory {
+/** State that an entry keeps of one target. */
+class TargetState {
   report: LoadReport;
   zoneOut = false;
   returnedAt: number | undefined;
-  /** Silent since a loss; cleared by a newer report. */
+  /** Time of the silence timeout; cleared by a newer report. */
   suspectedAt: number | undefined;
   readonly attempts = new Set<Attempt>();
   ownTokens = 0;
@@ -86,7 +86,7 @@
     this.report = report;
   }
 
-  take(report: LoadReport): void {
+  updateReport(report: LoadReport): void {
     if (report.madeAt <= this.report.madeAt) return;
     this.report = report;
     this.sentAt = this.sentAt.filter(at => at > report.madeAt);
@@ -97,7 +97,7 @@
   rememberPrefix(key: string): void {
     this.prefixes.delete(key);
     this.prefixes.set(key, true);
-    if (this.prefixes.size <= BELIEVED_PREFIXES) return;
+    if (this.prefixes.size <= MAX_TRACKED_PREFIXES) return;
     const oldest = this.prefixes.keys().next().value;
     if (oldest !== undefined) this.prefixes.delete(oldest);
   }
@@ -138,15 +138,15 @@
   attempts: number;
   delivered: number;
   firstTokenAt: number | undefined;
-  /** Last token before the loss, while the stream waits to go on. */
+  /** Time of the last token before a loss, until the stream resumes. */
   silentSince: number | undefined;
 }
 
-/** One entry. */
+/** One emulated entry. */
 export class Entry {
   private readonly budget: RetryBudget;
-  private readonly memories: ReadonlyMap<string, TargetMemory>;
-  private readonly list: readonly TargetMemory[];
+  private readonly stateById: ReadonlyMap<string, TargetState>;
+  private readonly states: readonly TargetState[];
 
   constructor(
     private readonly events: EventQueue,
@@ -156,31 +156,31 @@
     private readonly recorder: Recorder,
     private readonly random: () => number
   ) {
-    this.list = targets.map(
-      target => new TargetMemory(target, makeReport(target.gate, -1))
+    this.states = targets.map(
+      target => new TargetState(target, makeReport(target.gate, -1))
     );
-    this.memories = new Map(this.list.map(m => [m.target.targetId, m]));
-    const percent = options.retries ? RETRY_PERCENT : 0;
+    this.stateById = new Map(this.states.map(m => [m.target.targetId, m]));
+    const percent = options.retries ? RETRY_BUDGET_PERCENT : 0;
     this.budget = new RetryBudget({percent, minPerSecond: 1}, events.now);
   }
 
   report(targetId: string, report: LoadReport): void {
-    this.memory(targetId).take(report);
+    this.stateOf(targetId).updateReport(report);
   }
 
   setZoneOut(availabilityZone: string, out: boolean): void {
-    for (const memory of this.list) {
-      if (memory.target.availabilityZone !== availabilityZone) continue;
-      memory.zoneOut = out;
-      memory.returnedAt = out ? undefined : this.events.now;
+    for (const state of this.states) {
+      if (state.target.availabilityZone !== availabilityZone) continue;
+      state.zoneOut = out;
+      state.returnedAt = out ? undefined : this.events.now;
     }
   }
 
-  /** No stream of the target has moved for the silence timeout. */
+  /** Called when no stream of a target has moved for the silence timeout. */
   suspect(targetId: string): void {
-    const memory = this.memory(targetId);
-    memory.suspectedAt = this.events.now;
-    for (const attempt of [...memory.attempts]) attempt.lose(SILENCE_MS);
+    const state = this.stateOf(targetId);
+    state.suspectedAt = this.events.now;
+    for (const attempt of [...state.attempts]) attempt.lose(SILENCE_TIMEOUT_MS);
   }
 
   submit(req: EmulatedRequest): void {
@@ -201,12 +201,12 @@
       this.recorder.outcome(call.req, 'refused');
       return;
     }
-    this.send(call, this.memory(view.targetId));
+    this.send(call, this.stateOf(view.targetId));
   }
 
   private choose(req: EmulatedRequest): TargetView | undefined {
-    const views = this.candidates().map(memory =>
-      memory.view(req, this.events.now, this.options.gradualReturn)
+    const views = this.candidates().map(state =>
+      state.view(req, this.events.now, this.options.gradualReturn)
     );
     const routed = {
       promptTokens: req.promptTokens,
@@ -216,64 +216,64 @@
     return this.chooser(routed, views, this.random);
   }
 
-  private candidates(): readonly TargetMemory[] {
+  private candidates(): readonly TargetState[] {
     const {maxViews} = this.options;
-    if (this.list.length <= maxViews) return this.list;
-    const picked = new Set<TargetMemory>();
+    if (this.states.length <= maxViews) return this.states;
+    const picked = new Set<TargetState>();
     while (picked.size < maxViews)
-      picked.add(this.list[Math.floor(this.random() * this.list.length)]!);
+      picked.add(this.states[Math.floor(this.random() * this.states.length)]!);
     return [...picked];
   }
 
-  private send(call: Call, memory: TargetMemory): void {
+  private send(call: Call, state: TargetState): void {
     const {req} = call;
-    const {target} = memory;
+    const {target} = state;
     const cost = requestCost({
       promptTokens: req.promptTokens,
       outputTokens: EXPECTED_OUTPUT,
     });
-    const attempt = this.track(call, memory, cost);
-    memory.rememberPrefix(req.prefixKey);
+    const attempt = this.trackAttempt(call, state, cost);
+    state.rememberPrefix(req.prefixKey);
     const hop = this.hopMs(target);
     target.inFlight++;
     this.events.after(hop, () => {
       target.inFlight--;
-      target.gate.offer(this.job(call, memory, cost, attempt));
+      target.gate.offer(this.job(call, state, cost, attempt));
     });
   }
 
-  /** Books an attempt. */
-  private track(call: Call, memory: TargetMemory, cost: number): Attempt {
+  /** Adds an attempt to the load that the entry has sent to the target. */
+  private trackAttempt(call: Call, state: TargetState, cost: number): Attempt {
     const attempt: Attempt = {
       firstAt: undefined,
       end: () => {
-        if (!memory.attempts.delete(attempt)) return false;
-        memory.ownTokens -= cost;
+        if (!state.attempts.delete(attempt)) return false;
+        state.ownTokens -= cost;
         return true;
       },
       lose: silentMs => {
         if (!attempt.end()) return;
-        this.keepDelivered(call, attempt, silentMs);
-        this.lost(call, memory);
+        this.recordDelivered(call, attempt, silentMs);
+        this.handleLoss(call, state);
       },
     };
-    memory.attempts.add(attempt);
-    memory.ownTokens += cost;
-    memory.sentAt.push(this.events.now);
+    state.attempts.add(attempt);
+    state.ownTokens += cost;
+    state.sentAt.push(this.events.now);
     const {promptTokens} = call.req;
-    memory.prompts = withPrompt(memory.prompts, promptTokens, this.events.now);
+    state.prompts = withPrompt(state.prompts, promptTokens, this.events.now);
     return attempt;
   }
 
   private job(
     call: Call,
-    memory: TargetMemory,
+    state: TargetState,
     cost: number,
     attempt: Attempt
   ): Job {
     const {req} = call;
-    const hop = this.hopMs(memory.target);
-    const back = (action: () => void) => this.events.after(hop, action);
+    const hop = this.hopMs(state.target);
+    const sendBack = (action: () => void) => this.events.after(hop, action);
     return {
       id: `${req.id}.${call.attempts}`,
       req,
@@ -281,31 +281,33 @@
       delivered: call.delivered,
       onFirstToken: () => {
         attempt.firstAt = this.events.now;
-        back(() => this.firstToken(call, memory));
+        sendBack(() => this.firstToken(call, state));
       },
-      onDone: () => back(() => attempt.end() && this.done(call, memory)),
-      onLost: () => back(() => attempt.lose(hop)),
+      onDone: () => sendBack(() => attempt.end() && this.done(call, state)),
+      onLost: () => sendBack(() => attempt.lose(hop)),
       onRefused: reason =>
-        back(() => attempt.end() && this.refused(call, memory, reason)),
+        sendBack(
+          () => attempt.end() && this.handleRefusal(call, state, reason)
+        ),
     };
   }
 
-  /** The tokens that reached the caller before the loss stay delivered. */
-  private keepDelivered(
+  /** Estimates the tokens that reached the caller before the loss. */
+  private recordDelivered(
     call: Call,
     {firstAt}: Attempt,
     silentMs: number
   ): void {
     if (firstAt === undefined) return;
     const lastAt = Math.max(firstAt, this.events.now - silentMs);
-    const tokens = 1 + Math.floor((lastAt - firstAt) / MEAN_STEP_MS);
-    const most = call.req.outputTokens - 1;
-    call.delivered = Math.min(most, call.delivered + tokens);
+    const tokens = 1 + Math.floor((lastAt - firstAt) / MEAN_TOKEN_INTERVAL_MS);
+    const maxDelivered = call.req.outputTokens - 1;
+    call.delivered = Math.min(maxDelivered, call.delivered + tokens);
     call.silentSince ??= lastAt;
   }
 
-  private firstToken(call: Call, memory: TargetMemory): void {
-    this.learn(memory);
+  private firstToken(call: Call, state: TargetState): void {
+    this.updateFromResponse(state);
     if (call.silentSince !== undefined) {
       const gap = this.events.now - call.silentSince;
       this.recorder.resumeGap(this.events.now, gap);
@@ -317,8 +319,8 @@
     this.recorder.firstToken(call.req, latency + 2 * this.options.clientMs);
   }
 
-  private done(call: Call, memory: TargetMemory): void {
-    this.learn(memory);
+  private done(call: Call, state: TargetState): void {
+    this.updateFromResponse(state);
     const {req} = call;
     const firstAt = call.firstTokenAt ?? this.events.now;
     this.recorder.completion(req, this.events.now - firstAt);
@@ -326,31 +328,35 @@
     this.recorder.outcome(req, late ? 'late' : 'answered');
   }
 
-  private lost(call: Call, memory: TargetMemory): void {
+  private handleLoss(call: Call, state: TargetState): void {
     const {now} = this.events;
-    memory.failedAt.push(now);
-    this.events.after(FAILURE_MEMORY_MS, () => memory.failedAt.shift());
-    if (this.mayRepeat(call)) this.dispatch(call);
+    state.failedAt.push(now);
+    this.events.after(FAILURE_WINDOW_MS, () => state.failedAt.shift());
+    if (this.mayRetry(call)) this.dispatch(call);
     else this.recorder.outcome(call.req, 'failed');
   }
 
-  private refused(call: Call, memory: TargetMemory, reason: GateRefusal): void {
-    if (reason === 'zone-out') memory.zoneOut = true;
-    const elsewhere =
+  private handleRefusal(
+    call: Call,
+    state: TargetState,
+    reason: GateRefusal
+  ): void {
+    if (reason === 'zone-out') state.zoneOut = true;
+    const mayRunElsewhere =
       reason !== 'customer-limit' && reason !== 'deadline-passed';
-    if (elsewhere && this.mayRepeat(call)) this.dispatch(call);
+    if (mayRunElsewhere && this.mayRetry(call)) this.dispatch(call);
     else this.recorder.outcome(call.req, 'refused');
   }
 
-  private mayRepeat(call: Call): boolean {
+  private mayRetry(call: Call): boolean {
     if (!this.options.retries || call.attempts >= MAX_ATTEMPTS) return false;
     return this.budget.tryReplace(this.events.now);
   }
 
-  private learn(memory: TargetMemory): void {
+  private updateFromResponse(state: TargetState): void {
     if (!this.options.answersCarryLoad) return;
-    const hop = this.hopMs(memory.target);
-    memory.take(makeReport(memory.target.gate, this.events.now - hop));
+    const hop = this.hopMs(state.target);
+    state.updateReport(makeReport(state.target.gate, this.events.now - hop));
   }
 
   private hopMs(target: EmulatedTarget): number {
@@ -359,14 +365,14 @@
       : REMOTE_HOP_MS;
   }
 
-  private memory(targetId: string): TargetMemory {
-    const memory = this.memories.get(targetId);
-    if (memory === undefined) throw new Error(`no target ${targetId}`);
-    return memory;
+  private stateOf(targetId: string): TargetState {
+    const state = this.stateById.get(targetId);
+    if (state === undefined) throw new Error(`unknown target ${targetId}`);
+    return state;
   }
 }
 
-/** The load of a target as its agent reports it. */
+/** Creates the load report of a target. */
 export function makeReport(gate: Gate, madeAt: number): LoadReport {
   return {
     madeAt,
--- a/bench/emulator/eventQueue.ts
+++ b/bench/emulator/eventQueue.ts
@@ -1,4 +1,4 @@
-/** Discrete events over virtual time, in a binary heap. */
+/** Queue of discrete events in virtual time, as a binary heap. */
 
 interface ScheduledEvent {
   readonly atMs: number;
@@ -6,7 +6,7 @@
   readonly action: () => void;
 }
 
-/** Runs actions at their virtual times; equal times keep their order. */
+/** Runs actions at their virtual times; those due at once run first in, first out. */
 export class EventQueue {
   private readonly heap: ScheduledEvent[] = [];
   private order = 0;
@@ -18,7 +18,7 @@
     this.push({atMs, order: this.order++, action});
   }
 
-  /** Runs everything due until then, and leaves the clock there. */
+  /** Runs all actions that are due by `endMs` and sets the clock to it. */
   runUntil(endMs: number): void {
     for (;;) {
       const first = this.heap[0];
--- a/bench/emulator/gate.ts
+++ b/bench/emulator/gate.ts
@@ -1,4 +1,4 @@
-/** The gate beside an emulated engine; it drives the decisions that ship. */
+/** Gate of an emulated engine; uses the product's queue, ramp and limit. */
 
 import {
   concurrencyLimit,
@@ -28,7 +28,7 @@
 import type {EventQueue} from './eventQueue';
 import type {EmulatedRequest} from './workload';
 
-/** Why a gate gave a job back without having run it. */
+/** Why a gate refused a job without running it. */
 export type GateRefusal =
   | 'overloaded'
   | 'customer-limit'
@@ -37,12 +37,12 @@
   | 'zone-out'
   | 'target-unreachable';
 
-/** One attempt at a gate. */
+/** One attempt, as the gate receives it. */
 export interface Job {
   readonly id: string;
   readonly req: EmulatedRequest;
   readonly cost: number;
-  /** Output tokens that earlier attempts have delivered. */
+  /** Output tokens that earlier attempts have delivered to the caller. */
   readonly delivered: number;
   readonly onFirstToken: () => void;
   readonly onDone: () => void;
@@ -50,7 +50,7 @@
   readonly onRefused: (reason: GateRefusal) => void;
 }
 
-/** What the gate asks of a queue; the baseline is first in, first out. */
+/** Queue of a gate: the fair queue, or the FIFO baseline. */
 export interface JobQueue {
   readonly size: number;
   offer(item: QueueItem<Job>, nowMs: number): OfferResult;
@@ -61,21 +61,21 @@
   served(cost: number, elapsedMs: number): void;
 }
 
-/** How a gate is set up; each baseline leaves one thing out. */
+/** Settings of a gate; each baseline switches one feature off. */
 export interface GateOptions {
   readonly queue: 'fair' | 'fifo';
   readonly ramp: boolean;
   readonly warmup: WarmupLimits;
   /**
-   * What the ramp and the limit learn from: whole answers alone, or the
-   * engine's steps, as the agent does by the times of streamed tokens.
+   * Source of the samples for ramp and limit: complete responses, or the steps
+   * of the engine. The agent observes steps by the times of streamed tokens.
    */
   readonly samples: 'answers' | 'steps';
-  /** Longest wait for the first token, as a `limit` rule gives it. */
+  /** Timeout for the first token, as set by a `limit` rule. */
   readonly firstTokenMs?: number;
 }
 
-/** First in, first out, with the same bound. */
+/** FIFO queue with the same total limit as the fair queue. */
 export class FifoQueue implements JobQueue {
   private readonly items: QueueItem<Job>[] = [];
 
@@ -112,12 +112,12 @@
 /** Steps between two samples of the ramp. */
 const RAMP_SAMPLE_STEPS = 5;
 
-/** One gate. */
+/** Gate of one engine. */
 export class Gate {
   zoneOut = false;
-  /** Time of the last job that the engine got; -Infinity for none. */
+  /** Time of the last job that was started; -Infinity for none. */
   lastStartAt = -Infinity;
-  onWork: (customer: string, cost: number) => void = () => undefined;
+  onWorkStarted: (customer: string, cost: number) => void = () => undefined;
   private queue: JobQueue;
   private ramp: RampState;
   private concurrency: ConcurrencyState;
@@ -137,10 +137,10 @@
     this.ramp = warm
       ? {...ramp, level: options.warmup.full, complete: true}
       : ramp;
-    engine.onStep = step => this.observe(step);
-    engine.onFall = () => {
-      this.takeForCold();
-      this.giveBack('target-unreachable');
+    engine.onStep = step => this.observeStep(step);
+    engine.onCrash = () => {
+      this.markCold();
+      this.refuseQueued('target-unreachable');
     };
   }
 
@@ -163,7 +163,7 @@
     return Math.min(ramp, concurrencyLimit(this.concurrency, warmup));
   }
 
-  /** A changed warm-up rule. */
+  /** Applies a changed warm-up rule. */
   configure(warmup: WarmupLimits): void {
     this.ramp = rampRuleChanged(
       this.ramp,
@@ -173,16 +173,19 @@
     this.options = {...this.options, warmup};
   }
 
-  takeForCold(): void {
+  markCold(): void {
     this.ramp = rampCold(this.ramp, this.events.now);
   }
 
-  /** Forgets all, as a restarted agent; what its engine ran is lost too. */
+  /**
+   * Resets the state like a restart of the agent. Running requests of the
+   * engine are lost too.
+   */
   restart(): void {
     this.boot++;
     this.running = 0;
     this.queue = this.freshQueue();
-    this.takeForCold();
+    this.markCold();
   }
 
   offer(job: Job): void {
@@ -195,7 +198,7 @@
       return;
     }
     const {load} = job.req;
-    const deadlineAt = this.startBy(job);
+    const deadlineAt = this.startDeadline(job);
     const {customer, share, priority} = load;
     const {id, cost} = job;
     const result = this.queue.offer(
@@ -203,23 +206,23 @@
       this.events.now
     );
     if (result.kind === 'refused') job.onRefused(result.reason);
-    else this.pump();
+    else this.startQueued();
   }
 
-  /** A stream that goes on has met its first-token deadline before. */
-  private startBy({req, delivered}: Job): number {
+  /** A resumed stream has already met its first-token deadline. */
+  private startDeadline({req, delivered}: Job): number {
     const {firstTokenMs} = this.options;
     if (firstTokenMs === undefined || delivered > 0) return req.deadlineAt;
     return Math.min(req.deadlineAt, req.arrivedAt + firstTokenMs);
   }
 
-  /** Takes the zone out: what waits is given back, what runs goes on. */
+  /** Takes the zone out: queued jobs are refused, running ones continue. */
   setZoneOut(out: boolean): void {
     this.zoneOut = out;
-    if (out) this.giveBack('zone-out');
+    if (out) this.refuseQueued('zone-out');
   }
 
-  private giveBack(reason: GateRefusal): void {
+  private refuseQueued(reason: GateRefusal): void {
     const waiting: Job[] = [];
     for (;;) {
       const item = this.queue.take(this.events.now, Infinity);
@@ -238,7 +241,7 @@
     });
   }
 
-  private pump(): void {
+  private startQueued(): void {
     const {now} = this.events;
     for (const item of this.queue.expire(now))
       item.payload.onRefused('deadline-passed');
@@ -246,18 +249,18 @@
       const free = this.limit - this.running;
       const item = this.queue.take(now, free);
       if (item === undefined) return;
-      this.begin(item.payload);
+      this.startJob(item.payload);
     }
   }
 
-  private begin(job: Job): void {
+  private startJob(job: Job): void {
     const {req, delivered} = job;
     const {customer} = req.load;
     const startedAt = this.events.now;
     const boot = this.boot;
     this.running++;
     this.lastStartAt = startedAt;
-    this.onWork(customer, job.cost);
+    this.onWorkStarted(customer, job.cost);
     const end = () => {
       if (boot !== this.boot) return;
       this.running--;
@@ -276,35 +279,35 @@
       onDone: () => {
         end();
         this.queue.served(job.cost, this.events.now - startedAt);
-        this.answered(job, startedAt);
+        this.sampleResponse(job, startedAt);
         job.onDone();
-        this.pump();
+        this.startQueued();
       },
       onLost: () => {
         end();
-        this.takeForCold();
+        this.markCold();
         job.onLost();
       },
     });
   }
 
-  private answered(job: Job, startedAtMs: number): void {
+  private sampleResponse(job: Job, startedAtMs: number): void {
     if (this.options.samples !== 'answers') return;
     const {now} = this.events;
     const outstanding = this.running + 1;
     const latencyMs = (now - startedAtMs) / job.cost;
-    this.learn(latencyMs, outstanding);
-    this.climb(startedAtMs, outstanding);
+    this.recordLatency(latencyMs, outstanding);
+    this.advanceRamp(startedAtMs, outstanding);
   }
 
-  private learn(latencyMs: number, outstanding: number): void {
+  private recordLatency(latencyMs: number, outstanding: number): void {
     const {warmup} = this.options;
     this.concurrency = rampComplete(this.ramp, warmup)
       ? observeLatency(this.concurrency, warmup, {latencyMs, outstanding})
       : learnLatency(this.concurrency, latencyMs);
   }
 
-  private climb(startedAtMs: number, outstanding: number): void {
+  private advanceRamp(startedAtMs: number, outstanding: number): void {
     const {warmup} = this.options;
     if (rampComplete(this.ramp, warmup)) return;
     this.ramp = rampServed(this.ramp, warmup, {
@@ -315,12 +318,12 @@
     });
   }
 
-  private observe(step: StepEvent): void {
+  private observeStep(step: StepEvent): void {
     if (this.options.samples !== 'steps') return;
-    if (!step.prefilled) this.learn(step.durationMs, step.running);
+    if (!step.prefilled) this.recordLatency(step.durationMs, step.running);
     if (++this.steps % RAMP_SAMPLE_STEPS !== 0) return;
     const spanMs = step.durationMs * RAMP_SAMPLE_STEPS;
-    this.climb(this.events.now - spanMs, step.running);
-    this.pump();
+    this.advanceRamp(this.events.now - spanMs, step.running);
+    this.startQueued();
   }
 }
--- a/bench/emulator/recorder.ts
+++ b/bench/emulator/recorder.ts
@@ -1,4 +1,4 @@
-/** What callers saw, by customer and time window, in HDR histograms. */
+/** Latencies and outcomes by customer and time window, in HDR histograms. */
 
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {EmulatedRequest} from './workload';
@@ -6,14 +6,15 @@
 /** How a request ended. */
 export type Outcome = 'answered' | 'late' | 'refused' | 'failed';
 
-/** A span of virtual time; requests count where they arrived. */
+/** A span of virtual time; a request counts in the window of its arrival. */
 export interface Window {
   readonly name: string;
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-const SCALE = 100;
+/** Resolution of the histograms. */
+const UNITS_PER_MS = 100;
 
 function histogram(): Histogram {
   return build({
@@ -40,13 +41,13 @@
 
   constructor(readonly window: Window) {}
 
-  /** Milliseconds at a percentile. */
+  /** Returns the milliseconds at a percentile. */
   static ms(values: Histogram, percentile: number): number {
-    return values.getValueAtPercentile(percentile) / SCALE;
+    return values.getValueAtPercentile(percentile) / UNITS_PER_MS;
   }
 }
 
-/** Milliseconds over the requests of several customers together. */
+/** Returns the 95th percentile in milliseconds over several histograms. */
 export function pooledP95(histograms: readonly Histogram[]): number {
   const all = histogram();
   for (const one of histograms) all.add(one);
@@ -57,68 +58,73 @@
 export class Recorder {
   private readonly figures: readonly WindowFigures[];
   private readonly perCustomer = new Map<string, readonly WindowFigures[]>();
-  /** Output tokens made in each window, by customer. */
-  private readonly tokens = new Map<string, number>();
+  /** Cost of the work started in a window, by window and customer. */
+  private readonly workByWindowAndCustomer = new Map<string, number>();
 
   constructor(private readonly windows: readonly Window[]) {
     this.figures = windows.map(window => new WindowFigures(window));
   }
 
   firstToken(req: EmulatedRequest, latencyMs: number): void {
-    const value = Math.round(latencyMs * SCALE);
-    for (const figures of this.of(req)) figures.firstToken.recordValue(value);
+    const value = Math.round(latencyMs * UNITS_PER_MS);
+    for (const figures of this.figuresOf(req))
+      figures.firstToken.recordValue(value);
   }
 
-  /** Takes the time from the first token to the last. */
+  /** Records the time from the first token to the last. */
   completion(req: EmulatedRequest, decodeMs: number): void {
     const gaps = Math.max(1, req.outputTokens - 1);
-    const value = Math.round((decodeMs / gaps) * SCALE);
-    for (const figures of this.of(req)) figures.perToken.recordValue(value);
+    const value = Math.round((decodeMs / gaps) * UNITS_PER_MS);
+    for (const figures of this.figuresOf(req))
+      figures.perToken.recordValue(value);
   }
 
-  /** The longest silence that the caller of a lost stream saw. */
+  /** Records the time without tokens that the caller of a lost stream saw. */
   resumeGap(nowMs: number, gapMs: number): void {
-    const value = Math.round(gapMs * SCALE);
-    for (const figures of this.at(this.figures, nowMs))
+    const value = Math.round(gapMs * UNITS_PER_MS);
+    for (const figures of this.figuresAt(this.figures, nowMs))
       figures.resumeGap.recordValue(value);
   }
 
   betweenTokens(nowMs: number, gapMs: number, count: number): void {
     if (count === 0) return;
-    const value = Math.round(gapMs * SCALE);
-    for (const figures of this.at(this.figures, nowMs))
+    const value = Math.round(gapMs * UNITS_PER_MS);
+    for (const figures of this.figuresAt(this.figures, nowMs))
       figures.betweenTokens.recordValueWithCount(value, count);
   }
 
   outcome(req: EmulatedRequest, outcome: Outcome): void {
-    for (const figures of this.of(req)) figures.outcomes[outcome]++;
+    for (const figures of this.figuresOf(req)) figures.outcomes[outcome]++;
   }
 
-  /** Work begun for a customer at a time, in cost. */
+  /** Records the cost of work that was started for a customer. */
   work(customer: string, nowMs: number, cost: number): void {
-    for (const figures of this.at(this.figures, nowMs)) {
+    for (const figures of this.figuresAt(this.figures, nowMs)) {
       const key = `${figures.window.name}/${customer}`;
-      this.tokens.set(key, (this.tokens.get(key) ?? 0) + cost);
+      this.workByWindowAndCustomer.set(
+        key,
+        (this.workByWindowAndCustomer.get(key) ?? 0) + cost
+      );
     }
   }
 
   window(name: string): WindowFigures {
-    return pick(this.figures, name);
+    return findWindow(this.figures, name);
   }
 
   customerWindow(customer: string, name: string): WindowFigures {
-    return pick(this.customerFigures(customer), name);
+    return findWindow(this.customerFigures(customer), name);
   }
 
   customerWork(customer: string, name: string): number {
-    return this.tokens.get(`${name}/${customer}`) ?? 0;
+    return this.workByWindowAndCustomer.get(`${name}/${customer}`) ?? 0;
   }
 
-  private of(req: EmulatedRequest): readonly WindowFigures[] {
-    const all = this.at(this.figures, req.arrivedAt);
+  private figuresOf(req: EmulatedRequest): readonly WindowFigures[] {
+    const all = this.figuresAt(this.figures, req.arrivedAt);
     if (all.length === 0) return all;
     const own = this.customerFigures(req.load.customer);
-    return [...all, ...this.at(own, req.arrivedAt)];
+    return [...all, ...this.figuresAt(own, req.arrivedAt)];
   }
 
   private customerFigures(customer: string): readonly WindowFigures[] {
@@ -129,7 +135,7 @@
     return fresh;
   }
 
-  private at(
+  private figuresAt(
     figures: readonly WindowFigures[],
     nowMs: number
   ): readonly WindowFigures[] {
@@ -139,8 +145,11 @@
   }
 }
 
-function pick(figures: readonly WindowFigures[], name: string): WindowFigures {
+function findWindow(
+  figures: readonly WindowFigures[],
+  name: string
+): WindowFigures {
   const found = figures.find(({window}) => window.name === name);
-  if (found === undefined) throw new Error(`no window ${name}`);
+  if (found === undefined) throw new Error(`unknown window ${name}`);
   return found;
 }
--- a/bench/emulator/workload.ts
+++ b/bench/emulator/workload.ts
@@ -1,25 +1,25 @@
-/** Requests of the emulated customers: seeded, bursty, with shared prefixes. */
+/** Seeded requests of the emulated customers, in bursts and with shared prefixes. */
 
 import {SeededRandom} from '../fuzz/schedule';
 
-/** One customer's demand. */
+/** Load that one customer sends. */
 export interface CustomerLoad {
   readonly customer: string;
   readonly share: number;
   readonly priority: number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly perSecond: number;
-  /** Factor on the rate while the flood lasts. */
+  /** Factor on the rate during a flood. */
   readonly floodFactor: number;
 }
 
-/** When floods come. */
+/** Time of a flood. */
 export interface FloodWindow {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** One request with what only the emulator knows. */
+/** One request, with properties that only the emulator knows. */
 export interface EmulatedRequest {
   readonly id: string;
   readonly load: CustomerLoad;
@@ -28,23 +28,23 @@
   readonly promptTokens: number;
   readonly prefixKey: string;
   readonly prefixTokens: number;
-  /** True length; entries know `EXPECTED_OUTPUT` only. */
+  /** Actual length; entries only know `EXPECTED_OUTPUT`. */
   readonly outputTokens: number;
 }
 
-/** Mean output tokens, as the size to design for gives it. */
+/** Mean output tokens of the load that the design must support. */
 export const EXPECTED_OUTPUT = 350;
 /** Mean prompt tokens. */
 export const MEAN_PROMPT = 1000;
 const PREFIX_TOKENS = 600;
 const PREFIXES_PER_CUSTOMER = 12;
-/** Spread of the log-normal lengths. */
+/** Standard deviation of the logarithm of lengths (log-normal). */
 const LENGTH_SIGMA = 1;
 const TIMEOUT_MS = 90_000;
 const BURST_PERIOD_MS = 9000;
-const BURST_HEIGHT = 0.25;
+const BURST_AMPLITUDE = 0.25;
 
-/** Draws the requests of all customers in the order of their arrival. */
+/** Generates the requests of all customers in order of arrival. */
 export class Workload {
   private readonly random: SeededRandom;
   private count = 0;
@@ -57,7 +57,7 @@
     this.random = new SeededRandom(seed);
   }
 
-  /** Milliseconds until the customer's next request. */
+  /** Milliseconds until the next request of the customer. */
   gapMs(load: CustomerLoad, nowMs: number): number {
     const rate = this.rateAt(load, nowMs) / 1000;
     return -Math.log(1 - this.random.next()) / rate;
@@ -68,8 +68,8 @@
   }
 
   next(load: CustomerLoad, nowMs: number): EmulatedRequest {
-    const prefix = this.zipf(PREFIXES_PER_CUSTOMER);
-    const prompt = this.length(MEAN_PROMPT - PREFIX_TOKENS);
+    const prefix = this.zipfIndex(PREFIXES_PER_CUSTOMER);
+    const prompt = this.randomLength(MEAN_PROMPT - PREFIX_TOKENS);
     return {
       id: `r${this.count++}`,
       load,
@@ -78,13 +78,13 @@
       promptTokens: PREFIX_TOKENS + prompt,
       prefixKey: `${load.customer}/${prefix}`,
       prefixTokens: PREFIX_TOKENS,
-      outputTokens: this.length(EXPECTED_OUTPUT),
+      outputTokens: this.randomLength(EXPECTED_OUTPUT),
     };
   }
 
   private rateAt(load: CustomerLoad, nowMs: number): number {
     const wave = Math.sin((2 * Math.PI * nowMs) / BURST_PERIOD_MS);
-    const burst = 1 + BURST_HEIGHT * wave;
+    const burst = 1 + BURST_AMPLITUDE * wave;
     const flooding =
       this.flood !== undefined &&
       nowMs >= this.flood.fromMs &&
@@ -92,7 +92,7 @@
     return load.perSecond * burst * (flooding ? load.floodFactor : 1);
   }
 
-  private length(mean: number): number {
+  private randomLength(mean: number): number {
     const u = Math.max(1e-9, this.random.next());
     const normal =
       Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * this.random.next());
@@ -102,12 +102,12 @@
     return Math.max(1, Math.round(mean * scaled));
   }
 
-  private zipf(count: number): number {
+  private zipfIndex(count: number): number {
     return Math.floor(Math.pow(count, this.random.next())) - 1;
   }
 }
 
-/** Ten customers as the users describe them: a few large, most small. */
+/** Ten customers as users of the product describe theirs: three large, seven small. */
 export function tenCustomers(totalPerSecond: number): readonly CustomerLoad[] {
   const shares = [8, 6, 4, 1, 1, 1, 1, 1, 1, 1];
   const sum = shares.reduce((a, b) => a + b, 0);
--- a/tests/emulator.spec.ts
+++ b/tests/emulator.spec.ts
@@ -23,8 +23,8 @@
   );
 }
 
-describe('load decisions in an emulated deployment', () => {
-  it('should see the same run again under the same seed', () => {
+describe('load balancing in an emulated deployment', () => {
+  it('should repeat a run under the same seed', () => {
     const seen = [1, 1, 2].map(seed => {
       const run = cluster(0.6, seed);
       run.events.runUntil(8000);
@@ -35,9 +35,10 @@
   });
 
   it('should answer everything though a zone goes silent and returns cold', () => {
-    // Four of twelve engines vanish without a word, with a third of all
-    // streams. The entries notice a second later and resume elsewhere; the
-    // engines return cold, while the other two zones are nearly full.
+    // Four of twelve engines die without closing connections, and with them a
+    // third of all streams. The entries notice it a second later and resume the
+    // streams elsewhere. The engines return cold, while the other two zones are
+    // nearly full.
     const run = cluster(0.5, 3);
     run.events.runUntil(10_000);
     run.killZone('zone-b');
@@ -53,7 +54,7 @@
     }
   });
 
-  it('should start nothing in a zone seconds after it was taken out', () => {
+  it('should start nothing in a zone three seconds after it was taken out', () => {
     const run = cluster(0.5, 4);
     run.events.runUntil(10_000);
     run.setZoneOut('zone-c', true);
