--- a/bench/fleet/fleetPolicies.ts
+++ b/bench/fleet/fleetPolicies.ts
@@ -1,4 +1,4 @@
-/** Ways to give models to targets: ours, none, and anew at each look. */
+/** Policies that assign models to targets: the product and two baselines. */
 
 import {FleetDemand, workByModel} from '../../src/policy/fleetDemand';
 import {FLEET_DEFAULTS, planFleet} from '../../src/policy/fleetPlan';
@@ -6,77 +6,88 @@
 import {FULL, WARMUP_MS} from './fleetWorld';
 import type {FleetWorld} from './fleetWorld';
 
-const FIRST_LOAD_MS = 90_000;
-const LEARN_PART = 0.2;
+/** Assumed time of a model load before the first one was observed. */
+const INITIAL_LOAD_MS = 90_000;
+/** Weight of a new load time in the moving average. */
+const LOAD_TIME_SMOOTHING = 0.2;
 
-/** Orders to give after a look at the world. */
-export type FleetPolicy = (world: FleetWorld) => readonly FleetChange[];
+/** Decides the orders for the present state of the fleet. */
+export type FleetPolicy = (fleet: FleetWorld) => readonly FleetChange[];
 
-/** The decision of the product, fed by what control sees. */
+/** The decision of the product, with the input that control has. */
 export function ourPolicy(): FleetPolicy {
   const demand = new FleetDemand();
-  let loadMs = FIRST_LOAD_MS;
-  return world => {
-    const targets = world.view();
-    const work = targets.map(({model, work: inHand}) => ({
+  let loadMs = INITIAL_LOAD_MS;
+  return fleet => {
+    const targets = fleet.view();
+    const work = targets.map(({model, work: requests}) => ({
       model,
-      outstanding: Math.min(inHand, FULL),
-      queued: Math.max(0, inHand - FULL),
+      outstanding: Math.min(requests, FULL),
+      queued: Math.max(0, requests - FULL),
     }));
-    demand.observe(workByModel(work, FULL), world.nowMs);
-    for (const seen of world.loadTimes) loadMs += LEARN_PART * (seen - loadMs);
-    world.loadTimes = [];
-    if (!demand.settled(world.nowMs)) return [];
+    demand.observe(workByModel(work, FULL), fleet.nowMs);
+    for (const observedMs of fleet.loadTimes)
+      loadMs += LOAD_TIME_SMOOTHING * (observedMs - loadMs);
+    fleet.loadTimes = [];
+    if (!demand.settled(fleet.nowMs)) return [];
     const view = {
-      models: world.served,
+      models: fleet.served,
       targets,
-      open: world.open(),
+      open: fleet.openOrders(),
       demand: demand.levelsNow(),
       halted: new Set<string>(),
       full: FULL,
       loadMs,
       warmupMs: WARMUP_MS,
-      nowMs: world.nowMs,
+      nowMs: fleet.nowMs,
     };
     return planFleet(view, FLEET_DEFAULTS).changes;
   };
 }
 
-/** Every target keeps what it was given for the day's mean. */
+/** Baseline: targets keep their initial models, which fit the daily mean. */
 export function staticPolicy(): FleetPolicy {
   return () => [];
 }
 
 /**
- * Divides the pool anew by the demand of the moment and orders every target
- * that does not fit; those that fit are left in place.
+ * Baseline: divides the pool by the present demand each time. Orders another
+ * model for every target beyond the number for its model.
  */
 export function greedyPolicy(): FleetPolicy {
-  return world => {
-    const {demand, served} = world;
-    const targets = world.view();
+  return fleet => {
+    const {demand, served} = fleet;
+    const targets = fleet.view();
     const total = demand.reduce((a, b) => a + b, 0);
-    const room = targets.length - served.reduce((n, one) => n + one.min, 0);
-    const due = new Map(
+    const unreserved =
+      targets.length - served.reduce((sum, one) => sum + one.min, 0);
+    const remainingByModel = new Map(
       served.map(({model, min}, index) => [
         model,
-        min + Math.floor((room * demand[index]!) / total),
+        min + Math.floor((unreserved * demand[index]!) / total),
       ])
     );
-    const changing = new Set(world.open().map(({targetId}) => targetId));
-    const over = targets.filter(({model = '', targetId}) => {
+    const changing = new Set(fleet.openOrders().map(({targetId}) => targetId));
+    const surplus = targets.filter(({model = '', targetId}) => {
       if (changing.has(targetId)) return false;
-      const left = (due.get(model) ?? 0) - 1;
-      due.set(model, left);
-      return left < 0;
+      const remaining = (remainingByModel.get(model) ?? 0) - 1;
+      remainingByModel.set(model, remaining);
+      return remaining < 0;
     });
-    for (const {model} of world.open())
-      due.set(model, (due.get(model) ?? 0) - 1);
-    return over.flatMap(({targetId}) => {
-      const short = served.find(({model}) => (due.get(model) ?? 0) > 0);
-      if (short === undefined) return [];
-      due.set(short.model, (due.get(short.model) ?? 0) - 1);
-      return [{targetId, model: short.model, version: short.version}];
+    for (const {model} of fleet.openOrders())
+      remainingByModel.set(model, (remainingByModel.get(model) ?? 0) - 1);
+    return surplus.flatMap(({targetId}) => {
+      const underserved = served.find(
+        ({model}) => (remainingByModel.get(model) ?? 0) > 0
+      );
+      if (underserved === undefined) return [];
+      remainingByModel.set(
+        underserved.model,
+        (remainingByModel.get(underserved.model) ?? 0) - 1
+      );
+      return [
+        {targetId, model: underserved.model, version: underserved.version},
+      ];
     });
   };
 }
--- a/bench/fleet/fleetWorld.ts
+++ b/bench/fleet/fleetWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A day of a pool whose demand moves between models: targets, weight store and
- * callers as a fluid in virtual time, for `fleet`.
+ * Simulates a day of a pool whose demand moves between models, for the measure
+ * `fleet`. Work and loads are continuous quantities per tick of virtual time.
  */
 
 import type {
@@ -12,62 +12,69 @@
 
 const DAY_MS = 24 * 3_600_000;
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
-/** Weights of one model, and what one target can read. */
+/** Size of the weights of one model. */
 const MODEL_GB = 60;
+/** Read bandwidth of one target. */
 const TARGET_GB_PER_MS = 1 / 1000;
 const DRAIN_MS = 20_000;
-/** Time from the load to a warm target. */
+/** Time from the end of a load until the target is warm. */
 export const WARMUP_MS = 60_000;
-/** Requests at once on a target that has just loaded. */
-const START = 2;
-/** Requests at once on a warm target. */
+/** Concurrent requests on a target that has just loaded a model. */
+const COLD_CONCURRENCY = 2;
+/** Concurrent requests on a warm target. */
 export const FULL = 8;
-/** Mean use of the whole pool. */
-const MEAN_USE = 0.55;
-const LOAD_FAILS = 0.02;
-const NOISE = 0.06;
+/** Mean utilization of the whole pool. */
+const MEAN_UTILIZATION = 0.55;
+/** Share of the loads that fail. */
+const LOAD_FAILURE_RATE = 0.02;
+/** Largest random deviation of the demand for a model, as a ratio. */
+const DEMAND_NOISE = 0.06;
 const BURST_MS = 15 * 60_000;
 
-/** Size of a run. */
+/** Size and seed of a run. */
 export interface WorldShape {
   readonly targets: number;
   readonly models: number;
-  /** What the weight store gives, over all loads. */
+  /** Bandwidth of the weight store, shared by all loads. */
   readonly storeGbPerMs: number;
+  /** Least number of targets for each model. */
   readonly min: number;
   readonly tickMs: number;
   readonly seed: number;
 }
 
-interface WorldTarget {
+interface SimulatedTarget {
   readonly targetId: string;
   readonly availabilityZone: string;
   model: number;
-  /** Order under way. */
-  to?: number;
+  /** Model that it is to load; undefined without an open order. */
+  orderedModel?: number;
   drainedAtMs: number;
   leftGb: number;
   loadedAtMs: number;
   changedAtMs: number | undefined;
-  answered: boolean;
+  hasServed: boolean;
 }
 
-/** What a run adds up. */
-export interface WorldTotals {
+/** Totals of a run; demand, served and waiting are summed over ticks. */
+export interface FleetTotals {
   demand: number;
   served: number;
   waiting: number;
   loadedGb: number;
   changes: number;
   belowMinMs: number;
-  /** Targets of the most and least filled zone of a model, apart. */
+  /**
+   * Difference between the zones with most and fewest targets of a model,
+   * summed over models and ticks.
+   */
   zoneGap: number;
   ticks: number;
 }
 
-/** One pool over one day. */
+/** Simulation of one pool over one day. */
 export class FleetWorld {
-  readonly totals: WorldTotals = {
+  readonly totals: FleetTotals = {
     demand: 0,
     served: 0,
     waiting: 0,
@@ -79,9 +86,9 @@
   };
   readonly served: readonly ServedModel[];
   nowMs = 0;
-  /** Loads that ended since they were last taken, milliseconds. */
+  /** Durations of the loads since a policy last cleared the list, in ms. */
   loadTimes: number[] = [];
-  private readonly targets: readonly WorldTarget[];
+  private readonly targets: readonly SimulatedTarget[];
   private readonly rng: SeededRandom;
   private demands: number[];
   private burst = {model: 0, untilMs: 0};
@@ -96,48 +103,52 @@
       max: targets,
     }));
     this.demands = this.demandsAt(0);
-    this.targets = this.placed();
+    this.targets = this.initialTargets();
   }
 
   get over(): boolean {
     return this.nowMs >= DAY_MS;
   }
 
-  /** Requests at once now, by model. */
+  /** Present demand in concurrent requests, by model. */
   get demand(): readonly number[] {
     return this.demands;
   }
 
-  /** As control sees the targets. */
+  /** The targets as control sees them. */
   view(): readonly FleetTarget[] {
-    const work = this.workOfOne();
+    const work = this.workPerTarget();
     return this.targets.map(target => ({
       targetId: target.targetId,
       availabilityZone: target.availabilityZone,
       model: `m${target.model}`,
       modelVersion: 'v1',
-      serving: target.to === undefined,
+      serving: target.orderedModel === undefined,
       temperature: this.temperature(target),
       changed: target.changedAtMs !== undefined,
       changedAtMs: target.changedAtMs,
-      limit: this.bears(target),
-      work: target.to === undefined ? (work[target.model] ?? 0) : 0,
+      limit: this.capacityOf(target),
+      work: target.orderedModel === undefined ? (work[target.model] ?? 0) : 0,
     }));
   }
 
-  /** Orders that have not ended. */
-  open(): readonly FleetChange[] {
+  /** Orders that are not yet finished. */
+  openOrders(): readonly FleetChange[] {
     return this.targets
-      .filter(target => target.to !== undefined)
-      .map(({targetId, to}) => ({targetId, model: `m${to}`, version: 'v1'}));
+      .filter(target => target.orderedModel !== undefined)
+      .map(({targetId, orderedModel}) => ({
+        targetId,
+        model: `m${orderedModel}`,
+        version: 'v1',
+      }));
   }
 
   order(changes: readonly FleetChange[]): void {
     const byId = new Map(changes.map(change => [change.targetId, change]));
     for (const target of this.targets) {
       const change = byId.get(target.targetId);
-      if (change === undefined || target.to !== undefined) continue;
-      target.to = Number(change.model.slice(1));
+      if (change === undefined || target.orderedModel !== undefined) continue;
+      target.orderedModel = Number(change.model.slice(1));
       target.drainedAtMs = this.nowMs + DRAIN_MS;
       target.leftGb = MODEL_GB;
       this.totals.changes++;
@@ -147,27 +158,27 @@
   tick(): void {
     const {tickMs} = this.shape;
     this.demands = this.demandsAt(this.nowMs);
-    this.count();
-    this.load();
+    this.updateTotals();
+    this.advanceLoads();
     this.nowMs += tickMs;
   }
 
-  private count(): void {
+  private updateTotals(): void {
     const {tickMs, min} = this.shape;
-    const bears = this.demands.map(() => 0);
+    const capacity = this.demands.map(() => 0);
     const serving = this.demands.map(() => 0);
     const zones = this.demands.map(() => ZONES.map(() => 0));
     for (const target of this.targets) {
-      if (target.to !== undefined) continue;
+      if (target.orderedModel !== undefined) continue;
       const {model} = target;
-      bears[model]! += this.bears(target);
+      capacity[model]! += this.capacityOf(target);
       if (this.temperature(target) !== 'cold') serving[model]!++;
       zones[model]![ZONES.indexOf(target.availabilityZone)]!++;
-      target.answered ||= this.nowMs > target.loadedAtMs;
+      target.hasServed ||= this.nowMs > target.loadedAtMs;
     }
     const {totals} = this;
     this.demands.forEach((demand, model) => {
-      const done = Math.min(demand, bears[model]!);
+      const done = Math.min(demand, capacity[model]!);
       totals.demand += demand;
       totals.served += done;
       totals.waiting += demand - done;
@@ -177,87 +188,90 @@
     totals.ticks++;
   }
 
-  /** Loads share the store; one that fails leaves the old model in place. */
-  private load(): void {
+  /** All loads share the store; a failed load leaves the old model in place. */
+  private advanceLoads(): void {
     const {tickMs, storeGbPerMs} = this.shape;
     const loading = this.targets.filter(
-      ({to, drainedAtMs}) => to !== undefined && drainedAtMs <= this.nowMs
+      ({orderedModel, drainedAtMs}) =>
+        orderedModel !== undefined && drainedAtMs <= this.nowMs
     );
-    const each = Math.min(TARGET_GB_PER_MS, storeGbPerMs / loading.length);
+    const gbPerMs = Math.min(TARGET_GB_PER_MS, storeGbPerMs / loading.length);
     for (const target of loading) {
-      const gb = Math.min(target.leftGb, each * tickMs);
+      const gb = Math.min(target.leftGb, gbPerMs * tickMs);
       target.leftGb -= gb;
       this.totals.loadedGb += gb;
-      if (target.leftGb <= 0) this.loaded(target);
+      if (target.leftGb <= 0) this.finishLoad(target);
     }
   }
 
-  private loaded(target: WorldTarget): void {
+  private finishLoad(target: SimulatedTarget): void {
     const endMs = this.nowMs + this.shape.tickMs;
     this.loadTimes.push(endMs - (target.drainedAtMs - DRAIN_MS));
-    if (this.random() >= LOAD_FAILS) target.model = target.to!;
-    target.to = undefined;
+    if (this.random() >= LOAD_FAILURE_RATE) target.model = target.orderedModel!;
+    target.orderedModel = undefined;
     target.loadedAtMs = endMs;
     target.changedAtMs = endMs;
-    target.answered = false;
+    target.hasServed = false;
   }
 
-  private bears({loadedAtMs}: WorldTarget): number {
-    const part = Math.min(1, (this.nowMs - loadedAtMs) / WARMUP_MS);
-    return START + (FULL - START) * part;
+  private capacityOf({loadedAtMs}: SimulatedTarget): number {
+    const progress = Math.min(1, (this.nowMs - loadedAtMs) / WARMUP_MS);
+    return COLD_CONCURRENCY + (FULL - COLD_CONCURRENCY) * progress;
   }
 
-  private temperature(target: WorldTarget): FleetTarget['temperature'] {
-    if (!target.answered) return 'cold';
+  private temperature(target: SimulatedTarget): FleetTarget['temperature'] {
+    if (!target.hasServed) return 'cold';
     return this.nowMs - target.loadedAtMs >= WARMUP_MS ? 'warm' : 'warming';
   }
 
-  private workOfOne(): readonly number[] {
-    const holders = this.demands.map(() => 0);
-    for (const {to, model} of this.targets)
-      if (to === undefined) holders[model]!++;
-    return this.demands.map((demand, model) => demand / (holders[model] || 1));
+  private workPerTarget(): readonly number[] {
+    const servingCounts = this.demands.map(() => 0);
+    for (const {orderedModel, model} of this.targets)
+      if (orderedModel === undefined) servingCounts[model]!++;
+    return this.demands.map(
+      (demand, model) => demand / (servingCounts[model] || 1)
+    );
   }
 
-  /** Each model has its own hour, and bursts that nobody foresees. */
+  /** Each model peaks at its own hour; unforeseen bursts are added. */
   private demandsAt(nowMs: number): number[] {
     const {models, targets} = this.shape;
-    const total = MEAN_USE * FULL * targets;
+    const total = MEAN_UTILIZATION * FULL * targets;
     if (nowMs >= this.burst.untilMs && this.random() < 0.002) {
       const model = Math.floor(this.random() * models);
       this.burst = {model, untilMs: nowMs + BURST_MS};
     }
-    const parts = Array.from({length: models}, (_, model) => {
+    const weights = Array.from({length: models}, (_, model) => {
       const phase = (2 * Math.PI * model) / models;
-      const hour = Math.sin((2 * Math.PI * nowMs) / DAY_MS + phase);
+      const dailyWave = Math.sin((2 * Math.PI * nowMs) / DAY_MS + phase);
       const burst =
         model === this.burst.model && nowMs < this.burst.untilMs ? 1.5 : 1;
-      const weight = (1 + 0.9 * hour) / (1 + 0.15 * model);
-      return weight * burst * (1 + NOISE * (2 * this.random() - 1));
+      const weight = (1 + 0.9 * dailyWave) / (1 + 0.15 * model);
+      return weight * burst * (1 + DEMAND_NOISE * (2 * this.random() - 1));
     });
-    const usual = models / (1 + 0.075 * (models - 1));
-    return parts.map(part => (part * total) / usual);
+    const meanWeightSum = models / (1 + 0.075 * (models - 1));
+    return weights.map(part => (part * total) / meanWeightSum);
   }
 
-  /** In the parts of the day's mean, every model with its least number. */
-  private placed(): readonly WorldTarget[] {
+  /** Divides the targets by the mean demand, each model with at least `min`. */
+  private initialTargets(): readonly SimulatedTarget[] {
     const {models, targets, min} = this.shape;
     const weights = Array.from({length: models}, (_, m) => 1 / (1 + 0.15 * m));
     const sum = weights.reduce((a, b) => a + b, 0);
-    const room = targets - models * min;
-    const counts = weights.map(w => min + Math.floor((room * w) / sum));
-    const list = counts.flatMap((count, model) =>
+    const unreserved = targets - models * min;
+    const counts = weights.map(w => min + Math.floor((unreserved * w) / sum));
+    const modelByTarget = counts.flatMap((count, model) =>
       new Array<number>(count).fill(model)
     );
     return Array.from({length: targets}, (_, index) => ({
       targetId: `t${String(index).padStart(4, '0')}`,
       availabilityZone: ZONES[index % ZONES.length]!,
-      model: list[index] ?? index % models,
+      model: modelByTarget[index] ?? index % models,
       drainedAtMs: 0,
       leftGb: 0,
       loadedAtMs: -DAY_MS,
       changedAtMs: undefined,
-      answered: true,
+      hasServed: true,
     }));
   }
 
--- a/bench/report/html.ts
+++ b/bench/report/html.ts
@@ -1,4 +1,4 @@
-/** The results as one HTML page with SVG plots and no outside resources. */
+/** Report as one HTML page with SVG plots, without external resources. */
 
 import type {Plot, PlotSeries} from '../measure';
 import {
@@ -17,7 +17,7 @@
   'td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}' +
   'td:first-child,th:first-child{text-align:left}.short{color:#c1121f}';
 
-/** The whole page. */
+/** Returns the HTML page. */
 export function htmlReport(results: readonly ReportedResult[]): string {
   const sections = results.map(section).join('\n');
   return (
@@ -56,7 +56,7 @@
   readonly maxY: number;
 }
 
-/** A line plot; a series of one point is drawn as a bar. */
+/** Draws a line plot, or a bar chart if each series has a single point. */
 export function plotSvg(plot: Plot): string {
   const points = plot.series.flatMap(series => series.points);
   if (points.length === 0) return '';
@@ -65,10 +65,10 @@
     maxX: Math.max(...points.map(point => point.x)),
     maxY: Math.max(...points.map(point => point.y), 1e-9),
   };
-  const bars = plot.series.every(series => series.points.length === 1);
+  const isBarChart = plot.series.every(series => series.points.length === 1);
   const drawn = plot.series
     .map((series, index) =>
-      bars
+      isBarChart
         ? bar(series, index, plot.series.length, scale)
         : line(series, index, scale)
     )
@@ -76,13 +76,13 @@
   return (
     `<figure><figcaption>${escapeHtml(plot.title)} (${escapeHtml(plot.unit)})` +
     `</figcaption><svg width="${WIDTH}" height="${HEIGHT}" role="img">` +
-    `${axes(scale, bars)}${drawn}</svg></figure>`
+    `${axes(scale, isBarChart)}${drawn}</svg></figure>`
   );
 }
 
-function axes(scale: Scale, bars: boolean): string {
+function axes(scale: Scale, isBarChart: boolean): string {
   const bottom = HEIGHT - MARGIN;
-  const ends = bars
+  const xLabels = isBarChart
     ? ''
     : text(MARGIN, HEIGHT - 30, formatFigure(scale.minX)) +
       text(WIDTH - MARGIN, HEIGHT - 30, formatFigure(scale.maxX));
@@ -90,20 +90,20 @@
     `<path d="M${MARGIN} 10V${bottom}H${WIDTH - 10}" fill="none" stroke="#999"/>` +
     text(2, 16, formatFigure(scale.maxY)) +
     text(2, bottom, '0') +
-    ends
+    xLabels
   );
 }
 
 function line(series: PlotSeries, index: number, scale: Scale): string {
   const spanX = Math.max(1e-9, scale.maxX - scale.minX);
-  const place = ({x, y}: {readonly x: number; readonly y: number}) => {
+  const toPoint = ({x, y}: {readonly x: number; readonly y: number}) => {
     const left = MARGIN + ((x - scale.minX) / spanX) * (WIDTH - 2 * MARGIN);
     const top = HEIGHT - MARGIN - (y / scale.maxY) * (HEIGHT - MARGIN - 10);
     return `${left.toFixed(1)},${top.toFixed(1)}`;
   };
   const color = COLORS[index % COLORS.length]!;
   return (
-    `<polyline points="${series.points.map(place).join(' ')}" fill="none" ` +
+    `<polyline points="${series.points.map(toPoint).join(' ')}" fill="none" ` +
     `stroke="${color}"/>${legend(series.name, index, color)}`
   );
 }
--- a/bench/report/table.ts
+++ b/bench/report/table.ts
@@ -1,8 +1,8 @@
-/** The results as a plain text table. */
+/** Report as plain text tables. */
 
 import type {Figures, MeasureResult} from '../measure';
 
-/** One measure of the report. */
+/** Result of one measure in a report. */
 export interface ReportedResult {
   readonly key: string;
   readonly result: MeasureResult;
@@ -12,7 +12,10 @@
 const NAME_WIDTH = 44;
 const VALUE_WIDTH = 16;
 
-/** A table a measure: a row a figure, a column for ours and each baseline. */
+/**
+ * One table per measure, with a row for each figure and columns for the product,
+ * the bound and the baselines.
+ */
 export function textTable(results: readonly ReportedResult[]): string {
   return results.map(measureTable).join('\n');
 }
@@ -33,7 +36,7 @@
   return [header, ...rows, `  mark: ${result.mark}: ${verdict}`, ''].join('\n');
 }
 
-/** Ours first, then the bound, then the baselines. */
+/** Columns in order: the product, the bound, the baselines. */
 export function columnsOf(
   result: MeasureResult
 ): readonly (readonly [string, Figures])[] {
@@ -41,14 +44,14 @@
   return [['ours', result.ours], ...bound, ...Object.entries(result.baselines)];
 }
 
-/** All figures that occur in any column. */
+/** Names of all figures in any of the columns. */
 export function figureNames(
   columns: readonly (readonly [string, Figures])[]
 ): readonly string[] {
   return [...new Set(columns.flatMap(([, figures]) => Object.keys(figures)))];
 }
 
-/** Three significant digits, or a dash. */
+/** Formats with three significant digits; undefined becomes a dash. */
 export function formatFigure(value: number | undefined): string {
   if (value === undefined) return '-';
   if (Number.isInteger(value)) return String(value);
