--- a/tests/faultHistory.spec.ts
+++ b/tests/faultHistory.spec.ts
@@ -8,7 +8,7 @@
   Sent,
 } from '../bench/faults/history';
 
-const WHOLE = {kind: 'whole', body: '1'} as const;
+const WHOLE_RESPONSE = {kind: 'whole', body: '1'} as const;
 const NOT_RUN = {
   kind: 'refused',
   reason: 'no-target',
@@ -55,7 +55,7 @@
   return {kind: 'disturbed', fault, processes, fromMs, toMs};
 }
 
-function inForce(process: string, atMs: number, revision: number): FaultEvent {
+function applied(process: string, atMs: number, revision: number): FaultEvent {
   return {kind: 'in force', process, atMs, revision};
 }
 
@@ -74,7 +74,11 @@
 } as const;
 const KEYED = {call: 'once', key: 'k'} as const;
 
-const BROKEN: readonly (readonly [string, string, readonly FaultEvent[]])[] = [
+const VIOLATIONS: readonly (readonly [
+  string,
+  string,
+  readonly FaultEvent[],
+])[] = [
   [
     'a run after its refusal',
     'not run',
@@ -91,12 +95,12 @@
     ],
   ],
   [
-    'a target that fell over',
+    'a target that crashed under load',
     'cold start',
     [{kind: 'fell over', atMs: 5, target: 'planner-0'}],
   ],
   [
-    'new work in a zone that stays out over another file',
+    'new work in a zone that stays out across two rule files',
     'zone out',
     [
       accepted(1, 1_000, ['zone-a']),
@@ -110,12 +114,12 @@
     [LEAVING, ran('a', {atMs: 2_100})],
   ],
   [
-    'an answer that is not the own one',
+    'a response to another call',
     'whole answers',
     [sent('a'), answered('a', {kind: 'wrong', detail: 'another body'})],
   ],
   [
-    'two different answers under one key',
+    'two different responses under one key',
     'whole answers',
     [
       sent('a', KEYED),
@@ -125,7 +129,7 @@
     ],
   ],
   [
-    'a loss beside a fault of another pool',
+    'a lost stream during a fault of another pool',
     'whole answers',
     [
       sent('a', {call: 'stream'}),
@@ -134,7 +138,7 @@
     ],
   ],
   [
-    'a loss long after the fault',
+    'a lost call long after the fault',
     'whole answers',
     [
       disturbed('frozen', ['entry-0'], 0, 50),
@@ -143,32 +147,32 @@
     ],
   ],
   [
-    'a loss during a graceful end alone',
+    'a lost call during a graceful shutdown without other faults',
     'graceful shutdown',
     [LEAVING, sent('a', {atMs: 900}), answered('a', LOST, 1_100)],
   ],
   [
-    'a graceful end with a bad code',
+    'a graceful shutdown with an exit code other than 0',
     'graceful shutdown',
     [{kind: 'left', atMs: 5, process: 'entry-0', code: 1}],
   ],
   [
     'a lower revision after a restart',
     'never reverts',
-    [inForce('entry-0', 10, 7), inForce('entry-0', 20, 6)],
+    [applied('entry-0', 10, 7), applied('entry-0', 20, 6)],
   ],
   [
-    'two files under one number',
+    'two rule files under one revision',
     'never reverts',
     [accepted(3, 10), accepted(3, 11, [], 'another')],
   ],
   [
-    'an accepted file that is gone',
+    'an accepted rule file that is lost',
     'never reverts',
     [accepted(3, 10), settled(2)],
   ],
   [
-    'another text than the accepted one',
+    'a rule text that differs from the accepted one',
     'never reverts',
     [accepted(3, 10, [], 'another'), settled(3)],
   ],
@@ -177,22 +181,22 @@
 
 const ALLOWED: readonly (readonly [string, readonly FaultEvent[]])[] = [
   [
-    'an answer and a run',
-    [sent('a'), ran('a'), answered('a', WHOLE), settled(0)],
+    'a response and one run',
+    [sent('a'), ran('a'), answered('a', WHOLE_RESPONSE), settled(0)],
   ],
   [
-    'a run of one sending when another was refused',
+    'a run of one submission when another was refused',
     [
       sent('a', KEYED),
       sent('b', KEYED),
       answered('a', NOT_RUN),
       ran('b', {key: 'k'}),
-      answered('b', WHOLE),
+      answered('b', WHOLE_RESPONSE),
       answered('a', IN_PROGRESS),
     ],
   ],
   [
-    'the same read twice',
+    'two runs of the same read',
     [sent('a'), ran('a'), ran('a', {target: 'planner-1'})],
   ],
   [
@@ -205,7 +209,7 @@
     ],
   ],
   [
-    'what a frozen target reads when it wakes',
+    'work that a frozen target receives when it resumes',
     [
       accepted(1, 1_000, ['zone-a']),
       disturbed('frozen', ['fake-planner-0'], 1_500, 5_000),
@@ -213,7 +217,7 @@
     ],
   ],
   [
-    'work at a target whose agent hears the signal late, and after its return',
+    'work at a target whose agent receives the signal late, and after its restart',
     [
       LEAVING,
       disturbed('frozen', ['agent-planner-0'], 500, 3_000),
@@ -223,7 +227,7 @@
     ],
   ],
   [
-    'a loss by a fault on the way',
+    'a lost stream during a fault between entry and agent',
     [
       sent('a', {call: 'stream'}),
       disturbed('cut', ['entry-0', 'agent-planner-0'], 0, 50),
@@ -231,7 +235,7 @@
     ],
   ],
   [
-    'a resend that hears of the loss of the first sending',
+    'a second submission that reports the lost first one',
     [
       sent('a', KEYED),
       disturbed('stopped', ['agent-allocation-0'], 0, 50),
@@ -240,20 +244,20 @@
     ],
   ],
   [
-    'a killed process that was told to end before',
+    'a killed process that was asked to shut down before',
     [
       {kind: 'left', atMs: 50, process: 'entry-0', code: null},
       disturbed('stopped', ['entry-0'], 40, 90),
     ],
   ],
   [
-    'a later file than the last that was answered',
-    [accepted(3, 10), inForce('entry-0', 5, 3), settled(4)],
+    'a later rule file than the last acknowledged one',
+    [accepted(3, 10), applied('entry-0', 5, 3), settled(4)],
   ],
 ];
 
-describe('check of a history of faults', () => {
-  it.each(BROKEN)('should catch %s', (_name, promise, history) => {
+describe('check of a fault history', () => {
+  it.each(VIOLATIONS)('should report %s', (_name, promise, history) => {
     expect(check(history).map(one => one.promise)).toEqual([promise]);
   });
 
--- a/tests/freshPort.spec.ts
+++ b/tests/freshPort.spec.ts
@@ -1,9 +1,10 @@
 import {PortTakenError, onFreshPort} from '../bench/deployment/freePorts';
 
 describe('start on a fresh port', () => {
-  // Beside load an agent takes a second to start, and the port that was chosen for
-  // it was given to another process: all tests of the deployment failed.
-  it('should choose another port when somebody else listens on it', async () => {
+  // A port is chosen before the agent listens on it. Under load an agent takes a
+  // second to start, and meanwhile the system gave the port to another process:
+  // all tests of the deployment failed.
+  it('should choose another port when the first one is taken', async () => {
     let tries = 0;
     const started = onFreshPort(async () => {
       if (++tries < 3) throw new PortTakenError('taken');
@@ -12,7 +13,7 @@
     await expect(started).resolves.toBe(3);
   });
 
-  it('should give up when each port is taken', async () => {
+  it('should fail after three ports that are taken', async () => {
     let tries = 0;
     const started = onFreshPort(async () => {
       tries++;
@@ -22,13 +23,13 @@
     expect(tries).toBe(3);
   });
 
-  it('should not try again after another fault', async () => {
+  it('should not try again after another error', async () => {
     let tries = 0;
     const started = onFreshPort(async () => {
       tries++;
-      throw new Error('another fault');
+      throw new Error('another error');
     });
-    await expect(started).rejects.toThrow('another fault');
+    await expect(started).rejects.toThrow('another error');
     expect(tries).toBe(1);
   });
 });
