--- a/bench/emulator/engine.ts
+++ b/bench/emulator/engine.ts
@@ -68,8 +68,8 @@
 
 /** Ratio of load to capacity from which a cold engine slows down. */
 const STRAIN_THRESHOLD = 0.6;
-/** Slowdown of steps on an engine that runs at its capacity. */
-const MAX_STRAIN_FACTOR = 4;
+/** Factor on the step time of a cold engine that runs at its capacity. */
+const STRAIN_AT_CAPACITY = 4;
 
 /** One emulated engine. */
 export class Engine {
@@ -269,7 +269,7 @@
     const utilization = this.running / this.bearable();
     const excess =
       Math.max(0, utilization - STRAIN_THRESHOLD) / (1 - STRAIN_THRESHOLD);
-    return 1 + (MAX_STRAIN_FACTOR - 1) * Math.min(excess, 2);
+    return 1 + (STRAIN_AT_CAPACITY - 1) * Math.min(excess, 2);
   }
 
   private touchPrefix(key: string): void {
--- a/bench/fleet/fleetWorld.ts
+++ b/bench/fleet/fleetWorld.ts
@@ -249,8 +249,8 @@
       const weight = (1 + 0.9 * dailyWave) / (1 + 0.15 * model);
       return weight * burst * (1 + DEMAND_NOISE * (2 * this.random() - 1));
     });
-    const meanWeightSum = models / (1 + 0.075 * (models - 1));
-    return weights.map(part => (part * total) / meanWeightSum);
+    const approxWeightSum = models / (1 + 0.075 * (models - 1));
+    return weights.map(weight => (weight * total) / approxWeightSum);
   }
 
   /** Divides the targets by the mean demand, each model with at least `min`. */
--- a/bench/fuzz/lockStepEngine.ts
+++ b/bench/fuzz/lockStepEngine.ts
@@ -88,6 +88,7 @@
     return this.version;
   }
 
+  /** Records the fencing token of an order; false if a newer one is known. */
   private advanceFence(order: EngineOrder): boolean {
     if (!this.fencing) return true;
     const fence = fenceOf(order);
@@ -96,6 +97,7 @@
     return true;
   }
 
+  /** Of the stale orders only a prepare order gets a reply. */
   private rejectStale(order: EngineOrder): EngineAnswer | undefined {
     if (order.kind !== 'prepareEngine') return undefined;
     const {version} = order.order;
--- a/bench/fuzz/logModel.ts
+++ b/bench/fuzz/logModel.ts
@@ -104,7 +104,9 @@
    */
   hasRecovered(): boolean {
     const {committedIndex} = this.history;
-    const statuses = [...this.instances.values()].map(one => one.status());
+    const statuses = [...this.instances.values()].map(instance =>
+      instance.status()
+    );
     const leaders = statuses.filter(status => status?.role === 'leader');
     return (
       leaders.length === 1 &&
@@ -124,13 +126,13 @@
     }
     const fault = this.random.int(0, 13);
     if (fault <= 1) this.stop(instance);
-    else if (fault <= 5) for (const each of this.allInstances()) each.boot();
+    else if (fault <= 5) for (const other of this.allInstances()) other.boot();
     else if (fault <= 6)
       this.network.cut(instance.id, this.randomInstance().id);
     else if (fault <= 7) this.isolate(instance.id);
     else if (fault <= 10) this.network.heal();
     else if (fault <= 11) instance.pause();
-    else for (const each of this.allInstances()) each.resume();
+    else for (const other of this.allInstances()) other.resume();
   }
 
   /** Crashes a process; sometimes it resigns as leader first. */
@@ -162,18 +164,18 @@
 
   heal(): void {
     this.network.heal();
-    for (const one of this.allInstances()) {
-      one.resume();
-      one.boot();
+    for (const instance of this.allInstances()) {
+      instance.resume();
+      instance.boot();
     }
   }
 
   /** Submits proposals and read barriers, mostly at leaders. */
   submitLoad(): void {
-    for (const one of this.allInstances()) {
-      const rate = one.status()?.role === 'leader' ? 1 : 0.1;
-      if (this.random.chance(0.05 * rate)) one.propose(this.nextHolder());
-      if (this.random.chance(0.03 * rate)) one.readBarrier();
+    for (const instance of this.allInstances()) {
+      const rate = instance.status()?.role === 'leader' ? 1 : 0.1;
+      if (this.random.chance(0.05 * rate)) instance.propose(this.nextHolder());
+      if (this.random.chance(0.03 * rate)) instance.readBarrier();
     }
   }
 
@@ -199,9 +201,9 @@
   private step(onStep: () => void): void {
     for (const {from, to, message} of this.network.advance(STEP_MS))
       this.deliver(from, to, message);
-    for (const one of this.allInstances()) {
-      one.syncDisk();
-      if (this.now() % TICK_MS === 0) one.step({kind: 'tick'});
+    for (const instance of this.allInstances()) {
+      instance.syncDisk();
+      if (this.now() % TICK_MS === 0) instance.step({kind: 'tick'});
     }
     onStep();
   }
@@ -246,13 +248,16 @@
   while (cluster.now() < end) {
     cluster.advance(PROPOSAL_RETRY_MS, () => undefined);
     if (history.acceptedCount > before && cluster.hasRecovered()) return;
-    for (const one of cluster.instances.values())
-      if (one.status()?.role === 'leader' && history.acceptedCount === before)
-        one.propose(cluster.nextHolder());
+    for (const instance of cluster.instances.values())
+      if (
+        instance.status()?.role === 'leader' &&
+        history.acceptedCount === before
+      )
+        instance.propose(cluster.nextHolder());
   }
-  const states = [...cluster.instances].map(([id, one]) => ({
+  const states = [...cluster.instances].map(([id, instance]) => ({
     id,
-    ...one.status(),
+    ...instance.status(),
   }));
   throw new InvariantViolation(
     `cluster has not recovered in time: ${JSON.stringify(states)}`
--- a/bench/fuzz/onceModel.ts
+++ b/bench/fuzz/onceModel.ts
@@ -40,7 +40,7 @@
 class SimulatedAgent {
   boot = 1;
   up = true;
-  guard = new OnceGuard();
+  claimRegistry = new OnceGuard();
 
   constructor(readonly id: string) {}
 
@@ -50,7 +50,7 @@
 
   restart(): void {
     this.boot++;
-    this.guard = new OnceGuard();
+    this.claimRegistry = new OnceGuard();
     this.up = true;
   }
 }
@@ -125,18 +125,18 @@
   private callWithTimeout<T>(
     timeoutMs: number,
     handleRequest: () => T | undefined,
-    onReply: (answer: T | undefined) => void
+    onReply: (reply: T | undefined) => void
   ): void {
     let isPending = true;
-    const finish = (answer: T | undefined) => {
+    const finish = (reply: T | undefined) => {
       if (!isPending) return;
       isPending = false;
-      onReply(answer);
+      onReply(reply);
     };
     this.timeline.after(timeoutMs, () => finish(undefined));
     this.sendMessage(() => {
-      const answer = handleRequest();
-      if (answer !== undefined) this.sendMessage(() => finish(answer));
+      const reply = handleRequest();
+      if (reply !== undefined) this.sendMessage(() => finish(reply));
     });
   }
 
@@ -282,11 +282,11 @@
     if (agent.bootId !== target.agentBootId)
       return reply(refused('target-changed'));
     const claimId = claimIdOf(CUSTOMER, call.key, attempt);
-    const decision = agent.guard.begin(claimId);
+    const decision = agent.claimRegistry.begin(claimId);
     if (decision === 'fenced') return reply(refused('claim-fenced'));
     if (decision !== 'run') return reply(refused('in-progress'));
     if (this.random.chance(0.1)) {
-      agent.guard.release(claimId);
+      agent.claimRegistry.release(claimId);
       return reply(refused('target-unreachable'));
     }
     this.runAtTarget(agent, call, claimId, reply);
@@ -299,7 +299,7 @@
     claimId: string,
     reply: (event: OnceEvent) => void
   ): void {
-    const {guard, boot} = agent;
+    const {claimRegistry, boot} = agent;
     const isResponseLost = this.random.chance(0.15);
     this.timeline.within(1, 4_000, () => {
       const runNumber = this.runs.push({key: call.key, callId: call.callId});
@@ -309,10 +309,10 @@
         bodyBase64: String(runNumber),
       };
       if (isResponseLost) {
-        guard.finish(claimId);
+        claimRegistry.finish(claimId);
         return reply(refused('outcome-unknown'));
       }
-      guard.finish(claimId, answer);
+      claimRegistry.finish(claimId, answer);
       if (agent.boot === boot && agent.up) reply({kind: 'answered', answer});
     });
   }
@@ -329,7 +329,9 @@
       () => {
         if (!agent.up) return undefined;
         if (agent.bootId !== target.agentBootId) return {kind: 'other boot'};
-        return agent.guard.fence(claimIdOf(CUSTOMER, call.key, attempt));
+        return agent.claimRegistry.fence(
+          claimIdOf(CUSTOMER, call.key, attempt)
+        );
       },
       result => onEvent({kind: 'asked', result: result ?? {kind: 'no answer'}})
     );
