--- a/bench/deployment/callers.ts
+++ b/bench/deployment/callers.ts
@@ -75,7 +75,7 @@
 }
 
 /** A new unique idempotency key. */
-export function newKey(): string {
+export function newIdempotencyKey(): string {
   return randomUUID();
 }
 
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -5,7 +5,7 @@
 import path from 'node:path';
 import {Child} from './childProcess';
 import type {CutDirection} from './cutRelay';
-import {freePorts, onFreshPort, reservePorts} from './freePorts';
+import {freePorts, startOnFreePort, reservePorts} from './freePorts';
 import {Links} from './links';
 import {ClientResult, runClient} from './runClient';
 import type {DeploymentShape, PoolShape} from './shape';
@@ -74,7 +74,7 @@
     return child;
   }
 
-  names(): readonly string[] {
+  processNames(): readonly string[] {
     return [...this.children.keys()];
   }
 
@@ -85,7 +85,7 @@
     this.children.set(name, await start());
   }
 
-  /** Cuts the relayed connections between the processes of `shape.island` and the rest. */
+  /** Cuts the relayed connections between the processes of `shape.isolatedProcesses` and the rest. */
   cut(direction?: CutDirection): void {
     this.links.cut((from, to) => this.crossesIsland(from, to), direction);
   }
@@ -233,7 +233,7 @@
     const fakePort =
       rankPort ??
       sharedTarget?.fakePort ??
-      (await onFreshPort(() => this.startFake(shape, `fake-${targetId}`)));
+      (await startOnFreePort(() => this.startFake(shape, `fake-${targetId}`)));
     const lines = [
       '[target]',
       `id = ${targetId}`,
@@ -243,7 +243,9 @@
       `port = ${fakePort}`,
       ...(this.shape.agentTargetLines ?? []),
     ];
-    await onFreshPort(() => this.startAgent(`agent-${targetId}`, index, lines));
+    await startOnFreePort(() =>
+      this.startAgent(`agent-${targetId}`, index, lines)
+    );
     this.targets.push({
       targetId,
       pool,
@@ -257,7 +259,7 @@
     index: number,
     targetLines: readonly string[]
   ): Promise<void> {
-    const held = await reservePorts(this.shape.linked ? 1 : 0);
+    const held = await reservePorts(this.shape.usesRelays ? 1 : 0);
     const [port = 0] = held.ports;
     this.agentPorts.set(id, port);
     const file = this.write(id, [
@@ -277,7 +279,9 @@
     const [port = 0] = await freePorts(1);
     const fake = kind === 'engine' ? 'engine' : 'ledger';
     const args = [this.programs.fakes, fake, '--port', String(port)];
-    const record = this.shape.linked ? ['--record', this.recordFile(name)] : [];
+    const record = this.shape.usesRelays
+      ? ['--record', this.recordFile(name)]
+      : [];
     await this.startChild(name, [...args, ...fakeArgs, ...record]);
     return port;
   }
@@ -310,7 +314,7 @@
 
   /** Opens relays from an entry to all agents; resolves with the JSON that `viaRelays.ts` reads. */
   private async agentRelays(entry: string): Promise<string | undefined> {
-    if (!this.shape.linked) return undefined;
+    if (!this.shape.usesRelays) return undefined;
     const relays = [...this.agentPorts].map(async ([agent, port]) => [
       port,
       await this.links.open(entry, agent, port),
@@ -352,14 +356,14 @@
   }
 
   private crossesIsland(from: string, to: string): boolean {
-    const {island = []} = this.shape;
-    return island.includes(from) !== island.includes(to);
+    const {isolatedProcesses = []} = this.shape;
+    return isolatedProcesses.includes(from) !== isolatedProcesses.includes(to);
   }
 
   /** Addresses of control for one process, through relays where its links can be cut. */
   private async controlList(processId: string): Promise<string> {
     const isLinked = (id: string) =>
-      this.shape.linked
+      this.shape.usesRelays
         ? processId !== id && processId !== 'client'
         : this.crossesIsland(processId, id);
     const list = this.controlPorts.map(async (port, i) => {
--- a/bench/deployment/freePorts.ts
+++ b/bench/deployment/freePorts.ts
@@ -13,7 +13,7 @@
  * Starts a process on a port that `start` chooses anew on each call. Another
  * process can be given the same port before this one listens on it.
  */
-export async function onFreshPort<T>(start: () => Promise<T>): Promise<T> {
+export async function startOnFreePort<T>(start: () => Promise<T>): Promise<T> {
   for (let attempt = 1; ; attempt++) {
     try {
       return await start();
--- a/bench/deployment/shape.ts
+++ b/bench/deployment/shape.ts
@@ -29,12 +29,12 @@
   /** UDP port on this machine that receives the counters of all processes. */
   readonly metricsPort?: number;
   /** Names of the processes that `Deployment.cut` separates from the rest. */
-  readonly island?: readonly string[];
+  readonly isolatedProcesses?: readonly string[];
   /**
    * Every process reaches each control instance, and every entry each agent,
    * through its own relay (`Deployment.links`). Fakes record what they ran in files.
    */
-  readonly linked?: boolean;
+  readonly usesRelays?: boolean;
 }
 
 /** A small deployment for tests of failures. */
--- a/bench/emulator/choosers.ts
+++ b/bench/emulator/choosers.ts
@@ -1,10 +1,10 @@
 /** Strategies to choose a target: the product, baselines, and a perfect oracle. */
 
 import {
-  chooseTarget,
+  chooseSampledTarget,
   type RoutedRequest,
   type TargetView,
-} from '../../src/policy/balance';
+} from '../../src/policy/sampledTargetChoice';
 
 /** Names of the strategies. */
 export type ChooserName =
@@ -21,7 +21,7 @@
 export function makeChooser(name: Exclude<ChooserName, 'perfect'>): Chooser {
   switch (name) {
     case 'ours':
-      return chooseTarget;
+      return chooseSampledTarget;
     case 'roundRobin':
       return roundRobin();
     case 'leastOutstanding':
--- a/bench/emulator/cluster.ts
+++ b/bench/emulator/cluster.ts
@@ -1,10 +1,13 @@
 /** Emulates a deployment in virtual time: entries, gates, engines and reports. */
 
-import type {RoutedRequest, TargetView} from '../../src/policy/balance';
+import type {
+  RoutedRequest,
+  TargetView,
+} from '../../src/policy/sampledTargetChoice';
 import type {WarmupLimits} from '../../src/policy/ramp';
 import {SeededRandom} from '../fuzz/schedule';
 import {makeChooser, type Chooser, type ChooserName} from './choosers';
-import {ENGINE_SHAPE, Engine, type ColdShape} from './engine';
+import {ENGINE_SHAPE, Engine, type ColdStartProfile} from './engine';
 import {
   Entry,
   makeReport,
@@ -63,7 +66,7 @@
   readonly gate: GateOptions;
   readonly entry: Pick<
     EntryOptions,
-    'retries' | 'gradualReturn' | 'answersCarryLoad'
+    'retries' | 'gradualReturn' | 'responsesCarryLoad'
   >;
   /** Longest delay of a load report. */
   readonly maxReportLagMs: number;
@@ -78,7 +81,7 @@
 };
 
 /** Cold start of an engine that warms up exactly as the warm-up rule expects. */
-export const COLD: ColdShape = {
+export const COLD_START: ColdStartProfile = {
   start: WARMUP.start,
   warmMs: WARMUP.overMs,
   exponent: 1,
@@ -86,7 +89,7 @@
 };
 
 /** The gate of the product with all features on. */
-export const OUR_GATE: GateOptions = {
+export const PRODUCT_GATE: GateOptions = {
   queue: 'fair',
   ramp: true,
   samples: 'steps',
@@ -158,7 +161,7 @@
     }
   }
 
-  reviveZone(availabilityZone: string, cold: ColdShape): void {
+  reviveZone(availabilityZone: string, cold: ColdStartProfile): void {
     for (const {gate} of this.inZone(availabilityZone)) {
       gate.engine.revive(cold);
       gate.restart();
@@ -274,5 +277,5 @@
     (Math.max(0, requestsAhead - gate.limit) * req.outputTokens * stepMs) /
     gate.limit;
   const runMs = prompt * perPromptTokenMs + req.outputTokens * stepMs;
-  return (queueMs + runMs) * gate.engine.slow;
+  return (queueMs + runMs) * gate.engine.slowdown;
 }
--- a/bench/emulator/engine.ts
+++ b/bench/emulator/engine.ts
@@ -22,7 +22,7 @@
 }
 
 /** How a cold engine warms up; it crashes above its present capacity. */
-export interface ColdShape {
+export interface ColdStartProfile {
   /** Capacity of an engine that has just started, in concurrent requests. */
   readonly start: number;
   /** Time under load until it has full capacity. */
@@ -74,10 +74,10 @@
 /** One emulated engine. */
 export class Engine {
   /** Factor on the step time; 1 for an engine of normal speed. */
-  slow = 1;
+  slowdown = 1;
   /** Highest ratio of load to capacity so far; capacity is infinite when warm. */
-  mostOverBearable = 0;
-  falls = 0;
+  maxLoadRatio = 0;
+  crashCount = 0;
   onStep: (event: StepEvent) => void = () => undefined;
   onCrash: () => void = () => undefined;
   private readonly decoding = new Set<Sequence>();
@@ -87,7 +87,7 @@
   private boot = 0;
   private alive = true;
   private silent = false;
-  private cold: ColdShape | undefined;
+  private cold: ColdStartProfile | undefined;
   private warmedMs = 0;
 
   constructor(
@@ -126,7 +126,7 @@
   }
 
   /** Concurrent requests that it can run now; infinite when warm. */
-  bearable(): number {
+  capacity(): number {
     if (this.cold === undefined) return Infinity;
     const progress = Math.min(1, this.warmedMs / this.cold.warmMs);
     if (progress === 1) return Infinity;
@@ -135,7 +135,7 @@
   }
 
   /** Makes the engine cold without a restart; running requests continue. */
-  turnCold(cold: ColdShape): void {
+  turnCold(cold: ColdStartProfile): void {
     this.cold = cold;
     this.warmedMs = 0;
     this.prefixes.clear();
@@ -146,9 +146,9 @@
       if (!this.silent) this.events.after(0, sequence.onLost);
       return;
     }
-    const capacity = this.bearable();
+    const capacity = this.capacity();
     const loadRatio = (this.running + 1) / capacity;
-    this.mostOverBearable = Math.max(this.mostOverBearable, loadRatio);
+    this.maxLoadRatio = Math.max(this.maxLoadRatio, loadRatio);
     if (this.prefixes.has(sequence.prefixKey))
       sequence.promptLeft -= sequence.prefixTokens;
     this.touchPrefix(sequence.prefixKey);
@@ -173,7 +173,7 @@
     if (notifyCallers) lost.forEach(sequence => sequence.onLost());
   }
 
-  revive(cold: ColdShape | undefined): void {
+  revive(cold: ColdStartProfile | undefined): void {
     this.alive = true;
     this.cold = cold;
     this.warmedMs = 0;
@@ -188,7 +188,7 @@
   }
 
   private crash(): void {
-    this.falls++;
+    this.crashCount++;
     this.onCrash();
     this.kill(true);
     const cold = this.cold!;
@@ -207,7 +207,7 @@
     const {baseStepMs, perSequenceMs, perPromptTokenMs} = this.shape;
     const usualMs =
       baseStepMs + perSequenceMs * decoding + perPromptTokenMs * done.tokens;
-    const durationMs = usualMs * this.slow * this.strainFactor();
+    const durationMs = usualMs * this.slowdown * this.strainFactor();
     const boot = this.boot;
     this.events.after(durationMs, () => {
       if (boot === this.boot) this.endStep(durationMs, done);
@@ -259,14 +259,14 @@
 
   private advanceWarmup(durationMs: number, running: number): void {
     if (this.cold === undefined) return;
-    const utilization = Math.min(1, (2 * running) / this.bearable());
+    const utilization = Math.min(1, (2 * running) / this.capacity());
     this.warmedMs += durationMs * utilization;
     if (this.warmedMs >= this.cold.warmMs) this.cold = undefined;
   }
 
   /** Factor on the step time: a cold engine slows down before it crashes. */
   private strainFactor(): number {
-    const utilization = this.running / this.bearable();
+    const utilization = this.running / this.capacity();
     const excess =
       Math.max(0, utilization - STRAIN_THRESHOLD) / (1 - STRAIN_THRESHOLD);
     return 1 + (STRAIN_AT_CAPACITY - 1) * Math.min(excess, 2);
--- a/bench/emulator/entry.ts
+++ b/bench/emulator/entry.ts
@@ -1,10 +1,13 @@
 /** Emulates an entry: its delayed view of the targets, routing and retries. */
 
-import {requestCost, type TargetView} from '../../src/policy/balance';
+import {
+  requestCost,
+  type TargetView,
+} from '../../src/policy/sampledTargetChoice';
 import {
   NO_PROMPTS,
-  promptsLeft,
-  withPrompt,
+  pendingPromptTokens,
+  addPrompt,
 } from '../../src/policy/recentPrompts';
 import {RetryBudget} from '../../src/policy/retryBudget';
 import {zoneWeight} from '../../src/policy/zoneReturn';
@@ -39,7 +42,7 @@
   readonly retries: boolean;
   readonly gradualReturn: boolean;
   /** Whether responses carry the load of the target, like dispatch reports. */
-  readonly answersCarryLoad: boolean;
+  readonly responsesCarryLoad: boolean;
   /** Largest number of targets that are compared for one request. */
   readonly maxViews: number;
 }
@@ -123,10 +126,10 @@
       ownOutstanding: this.attempts.size,
       ownTokens: this.ownTokens,
       ownSinceReport: this.sentAt.length,
-      ownPromptTokens: promptsLeft(this.prompts, nowMs),
+      ownPromptTokens: pendingPromptTokens(this.prompts, nowMs),
       prefixTokens: this.prefixes.has(req.prefixKey) ? req.prefixTokens : 0,
       recentFailures: this.failedAt.length,
-      groupStraggle: target.gate.engine.slow,
+      groupStraggle: target.gate.engine.slowdown,
       returnWeight: zoneWeight({availabilityZone, returnedAtMs}, nowMs),
     };
   }
@@ -184,7 +187,7 @@
   }
 
   submit(req: EmulatedRequest): void {
-    this.budget.request();
+    this.budget.recordRequest();
     this.dispatch({
       req,
       attempts: 0,
@@ -261,7 +264,7 @@
     state.ownTokens += cost;
     state.sentAt.push(this.events.now);
     const {promptTokens} = call.req;
-    state.prompts = withPrompt(state.prompts, promptTokens, this.events.now);
+    state.prompts = addPrompt(state.prompts, promptTokens, this.events.now);
     return attempt;
   }
 
@@ -354,7 +357,7 @@
   }
 
   private updateFromResponse(state: TargetState): void {
-    if (!this.options.answersCarryLoad) return;
+    if (!this.options.responsesCarryLoad) return;
     const hop = this.hopMs(state.target);
     state.updateReport(makeReport(state.target.gate, this.events.now - hop));
   }
--- a/bench/emulator/gate.ts
+++ b/bench/emulator/gate.ts
@@ -3,9 +3,9 @@
 import {
   concurrencyLimit,
   freshConcurrency,
-  latencyRise,
-  learnLatency,
-  observeLatency,
+  latencyRatio,
+  recordLatency,
+  adjustConcurrency,
   type ConcurrencyState,
 } from '../../src/policy/concurrencyLimit';
 import {enginePriority} from '../../src/policy/enginePriority';
@@ -16,11 +16,11 @@
 } from '../../src/policy/fairQueue';
 import {
   freshRamp,
-  rampCold,
-  rampComplete,
+  restartRamp,
+  isRampComplete,
   rampLimit,
   rampRuleChanged,
-  rampServed,
+  rampAfterResponse,
   type RampState,
   type WarmupLimits,
 } from '../../src/policy/ramp';
@@ -70,7 +70,7 @@
    * Source of the samples for ramp and limit: complete responses, or the steps
    * of the engine. The agent observes steps by the times of streamed tokens.
    */
-  readonly samples: 'answers' | 'steps';
+  readonly samples: 'responses' | 'steps';
   /** Timeout for the first token, as set by a `limit` rule. */
   readonly firstTokenMs?: number;
 }
@@ -135,7 +135,7 @@
     this.concurrency = freshConcurrency(options.warmup);
     const ramp = freshRamp(events.now);
     this.ramp = warm
-      ? {...ramp, level: options.warmup.full, complete: true}
+      ? {...ramp, level: options.warmup.full, hasReachedFull: true}
       : ramp;
     engine.onStep = step => this.observeStep(step);
     engine.onCrash = () => {
@@ -153,7 +153,7 @@
   }
 
   get isWarm(): boolean {
-    return !this.options.ramp || rampComplete(this.ramp, this.options.warmup);
+    return !this.options.ramp || isRampComplete(this.ramp, this.options.warmup);
   }
 
   get limit(): number {
@@ -174,7 +174,7 @@
   }
 
   markCold(): void {
-    this.ramp = rampCold(this.ramp, this.events.now);
+    this.ramp = restartRamp(this.ramp, this.events.now);
   }
 
   /**
@@ -292,7 +292,7 @@
   }
 
   private sampleResponse(job: Job, startedAtMs: number): void {
-    if (this.options.samples !== 'answers') return;
+    if (this.options.samples !== 'responses') return;
     const {now} = this.events;
     const outstanding = this.running + 1;
     const latencyMs = (now - startedAtMs) / job.cost;
@@ -302,19 +302,19 @@
 
   private recordLatency(latencyMs: number, outstanding: number): void {
     const {warmup} = this.options;
-    this.concurrency = rampComplete(this.ramp, warmup)
-      ? observeLatency(this.concurrency, warmup, {latencyMs, outstanding})
-      : learnLatency(this.concurrency, latencyMs);
+    this.concurrency = isRampComplete(this.ramp, warmup)
+      ? adjustConcurrency(this.concurrency, warmup, {latencyMs, outstanding})
+      : recordLatency(this.concurrency, latencyMs);
   }
 
   private advanceRamp(startedAtMs: number, outstanding: number): void {
     const {warmup} = this.options;
-    if (rampComplete(this.ramp, warmup)) return;
-    this.ramp = rampServed(this.ramp, warmup, {
+    if (isRampComplete(this.ramp, warmup)) return;
+    this.ramp = rampAfterResponse(this.ramp, warmup, {
       nowMs: this.events.now,
       startedAtMs,
       outstanding,
-      slowdown: latencyRise(this.concurrency),
+      slowdown: latencyRatio(this.concurrency),
     });
   }
 
--- a/bench/faults/checkNewWork.ts
+++ b/bench/faults/checkNewWork.ts
@@ -1,6 +1,6 @@
 /** Finds new work in zones that are out and at targets that are leaving. */
 
-import {Accepted, Disturbed, History, Ran, eventsOfKind} from './history';
+import {Accepted, FaultInterval, History, Ran, eventsOfKind} from './history';
 
 /** Time allowed until new work in the zone stops; `proof-ms` takes 2.5 s of it. */
 const MAX_ZONE_OUT_DELAY_MS = 3_000;
@@ -98,7 +98,10 @@
  * reached its socket before and during the freeze only after the thaw, and
  * records that later time. Such a run counts as begun at the start of the freeze.
  */
-function beganAtMs(frozen: readonly Disturbed[], {target, atMs}: Ran): number {
+function beganAtMs(
+  frozen: readonly FaultInterval[],
+  {target, atMs}: Ran
+): number {
   const freeze = frozen.find(
     ({processes, fromMs, toMs}) =>
       processes.includes(`fake-${target}`) &&
@@ -110,7 +113,7 @@
 
 /** Time at which a process gets a signal: a frozen one gets it at the thaw. */
 function signalledAtMs(
-  frozen: readonly Disturbed[],
+  frozen: readonly FaultInterval[],
   process: string,
   atMs: number
 ): number {
@@ -128,7 +131,7 @@
   return Math.min(Infinity, ...starts);
 }
 
-function freezes(history: History): readonly Disturbed[] {
+function freezes(history: History): readonly FaultInterval[] {
   return eventsOfKind(history, 'disturbed').filter(
     ({fault}) => fault === 'frozen'
   );
--- a/bench/faults/faultRun.ts
+++ b/bench/faults/faultRun.ts
@@ -8,7 +8,7 @@
 import {SeededRandom} from '../fuzz/schedule';
 import {Fault, describeFault, pickFault, runFault} from './faults';
 import type {FaultEvent, History} from './history';
-import {Operators} from './operators';
+import {Operators} from './ruleOperators';
 import {Traffic} from './traffic';
 
 const MAX_START_DELAY_MS = 1_000;
@@ -50,7 +50,7 @@
   async run(seed: number): Promise<FaultRunResult> {
     const random = new SeededRandom(seed);
     // Sorted, since the order in which processes start varies between runs of a seed.
-    const names = [...this.deployment.names()].sort();
+    const names = [...this.deployment.processNames()].sort();
     const [first, second] = pickPair(random, names);
     const [firstMs, secondMs, zonesMs] = pickTimes(
       random,
@@ -83,7 +83,7 @@
 
   /** Events of all runs so far, with those from the records of fakes and the logs. */
   history(): History {
-    const names = this.deployment.names();
+    const names = this.deployment.processNames();
     return [
       ...this.events,
       ...this.deployment.targets.flatMap(target => this.targetEvents(target)),
@@ -130,7 +130,7 @@
     const {processes, instances, targets, revision, rulesText} = status;
     const missing: string[] = [];
     const held = new Map(processes.map(p => [p.processId, p.heldRevision]));
-    for (const name of this.deployment.names())
+    for (const name of this.deployment.processNames())
       if (/^(entry|agent)-/.test(name) && (held.get(name) ?? 0) < revision)
         missing.push(`${name} holds ${held.get(name)} of ${revision}`);
     if (revision < this.operators.revision) missing.push('the last revision');
--- a/bench/faults/faultShape.ts
+++ b/bench/faults/faultShape.ts
@@ -25,5 +25,5 @@
       fakeArgs: ['--latency-ms', '20'],
     },
   ],
-  linked: true,
+  usesRelays: true,
 };
--- a/bench/faults/faults.ts
+++ b/bench/faults/faults.ts
@@ -8,7 +8,7 @@
 import type {Deployment} from '../deployment/deployment';
 import type {SeededRandom} from '../fuzz/schedule';
 import type {FaultEvent} from './history';
-import type {Operators} from './operators';
+import type {Operators} from './ruleOperators';
 import type {Traffic} from './traffic';
 
 /** Time until the platform's balancer detects that an entry is not ready. */
@@ -134,7 +134,9 @@
   if (typeof who === 'string') return who;
   const {instances} = await control.status();
   const leader = instances.find(({role}) => role === 'leader')?.instanceId;
-  const names = deployment.names().filter(name => name.startsWith('control-'));
+  const names = deployment
+    .processNames()
+    .filter(name => name.startsWith('control-'));
   const found = names.find(
     name => (name === leader) === (who.role === 'leader')
   );
--- a/bench/faults/check.ts
+++ b/bench/faults/findViolations.ts
@@ -54,7 +54,7 @@
 };
 
 /** All violations that the history shows. */
-export function check(history: History): readonly Violation[] {
+export function findViolations(history: History): readonly Violation[] {
   const promises = Object.keys(CHECKS) as readonly PromiseName[];
   return promises.flatMap(promise =>
     CHECKS[promise](history).map(detail => ({promise, detail}))
--- a/bench/faults/history.ts
+++ b/bench/faults/history.ts
@@ -60,7 +60,7 @@
 }
 
 /** A fault of a process or of a link. */
-export interface Disturbed {
+export interface FaultInterval {
   readonly kind: 'disturbed';
   readonly fromMs: number;
   readonly toMs: number;
@@ -75,7 +75,7 @@
   | Answered
   | Ran
   | Accepted
-  | Disturbed
+  | FaultInterval
   /** A target crashed because it was overloaded while cold. */
   | {readonly kind: 'fell over'; readonly atMs: number; readonly target: string}
   /** A process logged that it applied this revision. */
--- a/bench/faults/losses.ts
+++ b/bench/faults/losses.ts
@@ -4,7 +4,7 @@
 import {
   Answered,
   CallResult,
-  Disturbed,
+  FaultInterval,
   FaultEvent,
   History,
   Sent,
@@ -84,7 +84,7 @@
 }
 
 function isExplained(
-  disturbed: readonly Disturbed[],
+  disturbed: readonly FaultInterval[],
   {sent, answered}: Loss
 ): boolean {
   const pool =
--- a/bench/faults/main.ts
+++ b/bench/faults/main.ts
@@ -7,7 +7,7 @@
 import {connectControl} from '../../src/cli/connectControl';
 import {Deployment} from '../deployment/deployment';
 import {BUILT_PROGRAMS} from '../deployment/programs';
-import {check} from './check';
+import {findViolations} from './findViolations';
 import {runDelaysAfterSigterm} from './checkNewWork';
 import {FaultRunner} from './faultRun';
 import {FAULT_SHAPE} from './faultShape';
@@ -46,7 +46,7 @@
   for (let seed = firstSeed; seed < firstSeed + runs; seed++) {
     const {pair, healedMs} = await runner.run(seed);
     print(`seed ${seed}: ${pair.join(' + ')}: whole after ${healedMs} ms`);
-    for (const {promise, detail} of check(runner.history())) {
+    for (const {promise, detail} of findViolations(runner.history())) {
       const line = `  VIOLATED ${promise}: ${detail}`;
       if (!seen.has(line)) print(`${line} (${new Date().toISOString()})`);
       seen.add(line);
--- a/bench/faults/traffic.ts
+++ b/bench/faults/traffic.ts
@@ -10,7 +10,7 @@
   classifyCompletion,
   classifyRead,
   classifyStream,
-} from './expected';
+} from './classifyResponse';
 import type {CallKind, CallResult, FaultEvent} from './history';
 
 /** Exceeds the pools' timeout of 10 s plus the time to read a response. */
--- a/bench/fleet/fleetPolicies.ts
+++ b/bench/fleet/fleetPolicies.ts
@@ -1,10 +1,10 @@
 /** Policies that assign models to targets: the product and two baselines. */
 
-import {FleetDemand, workByModel} from '../../src/policy/fleetDemand';
+import {FleetDemand, demandByModel} from '../../src/policy/fleetDemand';
 import {FLEET_DEFAULTS, planFleet} from '../../src/policy/fleetPlan';
-import type {FleetChange} from '../../src/policy/fleetTally';
-import {FULL, WARMUP_MS} from './fleetWorld';
-import type {FleetWorld} from './fleetWorld';
+import type {ModelAssignment} from '../../src/policy/fleetTally';
+import {WARM_CONCURRENCY, WARMUP_MS} from './fleetSimulation';
+import type {FleetSimulation} from './fleetSimulation';
 
 /** Assumed time of a model load before the first one was observed. */
 const INITIAL_LOAD_MS = 90_000;
@@ -12,20 +12,22 @@
 const LOAD_TIME_SMOOTHING = 0.2;
 
 /** Decides the orders for the present state of the fleet. */
-export type FleetPolicy = (fleet: FleetWorld) => readonly FleetChange[];
+export type FleetPolicy = (
+  fleet: FleetSimulation
+) => readonly ModelAssignment[];
 
 /** The decision of the product, with the input that control has. */
-export function ourPolicy(): FleetPolicy {
+export function productPolicy(): FleetPolicy {
   const demand = new FleetDemand();
   let loadMs = INITIAL_LOAD_MS;
   return fleet => {
     const targets = fleet.view();
     const work = targets.map(({model, work: requests}) => ({
       model,
-      outstanding: Math.min(requests, FULL),
-      queued: Math.max(0, requests - FULL),
+      outstanding: Math.min(requests, WARM_CONCURRENCY),
+      queued: Math.max(0, requests - WARM_CONCURRENCY),
     }));
-    demand.observe(workByModel(work, FULL), fleet.nowMs);
+    demand.observe(demandByModel(work, WARM_CONCURRENCY), fleet.nowMs);
     for (const observedMs of fleet.loadTimes)
       loadMs += LOAD_TIME_SMOOTHING * (observedMs - loadMs);
     fleet.loadTimes = [];
@@ -34,9 +36,9 @@
       models: fleet.served,
       targets,
       open: fleet.openOrders(),
-      demand: demand.levelsNow(),
+      demand: demand.smoothedByModel(),
       halted: new Set<string>(),
-      full: FULL,
+      full: WARM_CONCURRENCY,
       loadMs,
       warmupMs: WARMUP_MS,
       nowMs: fleet.nowMs,
--- a/bench/fleet/fleetWorld.ts
+++ b/bench/fleet/fleetSimulation.ts
@@ -4,7 +4,7 @@
  */
 
 import type {
-  FleetChange,
+  ModelAssignment,
   FleetTarget,
   ServedModel,
 } from '../../src/policy/fleetTally';
@@ -22,7 +22,7 @@
 /** Concurrent requests on a target that has just loaded a model. */
 const COLD_CONCURRENCY = 2;
 /** Concurrent requests on a warm target. */
-export const FULL = 8;
+export const WARM_CONCURRENCY = 8;
 /** Mean utilization of the whole pool. */
 const MEAN_UTILIZATION = 0.55;
 /** Share of the loads that fail. */
@@ -32,7 +32,7 @@
 const BURST_MS = 15 * 60_000;
 
 /** Size and seed of a run. */
-export interface WorldShape {
+export interface FleetShape {
   readonly targets: number;
   readonly models: number;
   /** Bandwidth of the weight store, shared by all loads. */
@@ -73,7 +73,7 @@
 }
 
 /** Simulation of one pool over one day. */
-export class FleetWorld {
+export class FleetSimulation {
   readonly totals: FleetTotals = {
     demand: 0,
     served: 0,
@@ -93,7 +93,7 @@
   private demands: number[];
   private burst = {model: 0, untilMs: 0};
 
-  constructor(private readonly shape: WorldShape) {
+  constructor(private readonly shape: FleetShape) {
     this.rng = new SeededRandom(shape.seed);
     const {models, targets, min} = shape;
     this.served = Array.from({length: models}, (_, model) => ({
@@ -106,7 +106,7 @@
     this.targets = this.initialTargets();
   }
 
-  get over(): boolean {
+  get isOver(): boolean {
     return this.nowMs >= DAY_MS;
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** Orders that are not yet finished. */
-  openOrders(): readonly FleetChange[] {
+  openOrders(): readonly ModelAssignment[] {
     return this.targets
       .filter(target => target.orderedModel !== undefined)
       .map(({targetId, orderedModel}) => ({
@@ -143,7 +143,7 @@
       }));
   }
 
-  order(changes: readonly FleetChange[]): void {
+  applyOrders(changes: readonly ModelAssignment[]): void {
     const byId = new Map(changes.map(change => [change.targetId, change]));
     for (const target of this.targets) {
       const change = byId.get(target.targetId);
@@ -216,7 +216,7 @@
 
   private capacityOf({loadedAtMs}: SimulatedTarget): number {
     const progress = Math.min(1, (this.nowMs - loadedAtMs) / WARMUP_MS);
-    return COLD_CONCURRENCY + (FULL - COLD_CONCURRENCY) * progress;
+    return COLD_CONCURRENCY + (WARM_CONCURRENCY - COLD_CONCURRENCY) * progress;
   }
 
   private temperature(target: SimulatedTarget): FleetTarget['temperature'] {
@@ -236,7 +236,7 @@
   /** Each model peaks at its own hour; unforeseen bursts are added. */
   private demandsAt(nowMs: number): number[] {
     const {models, targets} = this.shape;
-    const total = MEAN_UTILIZATION * FULL * targets;
+    const total = MEAN_UTILIZATION * WARM_CONCURRENCY * targets;
     if (nowMs >= this.burst.untilMs && this.random() < 0.002) {
       const model = Math.floor(this.random() * models);
       this.burst = {model, untilMs: nowMs + BURST_MS};
--- a/bench/fuzz/onceModelCall.ts
+++ b/bench/fuzz/callSubmission.ts
@@ -95,7 +95,7 @@
           action.attempt,
           this.handleEvent
         );
-      case 'ask':
+      case 'fence':
         return environment.fenceAtAgent(
           this,
           action.target,
--- a/bench/fuzz/freshnessModel.ts
+++ b/bench/fuzz/freshnessModel.ts
@@ -73,14 +73,14 @@
 
   private replyToPoll(voter: Voter, askedAtMs: number): void {
     if (!voter.up) {
-      this.proof.add(voter.id, {kind: 'not running', askedAtMs});
+      this.proof.addEvidence(voter.id, {kind: 'not running', askedAtMs});
       return;
     }
     const {revision, voting} = voter;
     this.timeline.within(0, 3_000, () => {
       if (revision > this.appliedRevision && this.random.chance(0.7))
         this.applyRevision(revision);
-      this.proof.add(voter.id, {
+      this.proof.addEvidence(voter.id, {
         kind: 'answered',
         askedAtMs,
         voter: voting,
@@ -92,7 +92,7 @@
 
   private applyRevision(revision: number): void {
     this.appliedRevision = revision;
-    this.proof.hold(revision);
+    this.proof.setAppliedRevision(revision);
   }
 
   /** A revision is committed once a majority of voters stores it. */
@@ -139,7 +139,7 @@
   }
 
   private checkProof(): void {
-    const status = this.proof.judge(this.timeline.now);
+    const status = this.proof.evaluate(this.timeline.now);
     if (status.kind !== 'proven') return;
     const provenAtMs = this.timeline.now - status.ageMs;
     const newer = this.committedAtMs.findIndex(
--- a/bench/fuzz/lockStepEngine.ts
+++ b/bench/fuzz/lockStepEngine.ts
@@ -4,7 +4,7 @@
   EngineView,
   RankAction,
   RankEvent,
-} from '../../src/agent/maps/rankSwitchEvents';
+} from '../../src/agent/maps/rankMapSwitchEvents';
 
 /** Orders from the agent. */
 export type EngineOrder = Exclude<RankAction, {kind: 'send'}>;
@@ -60,7 +60,7 @@
     };
   }
 
-  take(order: EngineOrder, loadFails: boolean): EngineAnswer | undefined {
+  apply(order: EngineOrder, loadFails: boolean): EngineAnswer | undefined {
     if (!this.up) return undefined;
     if (!this.advanceFence(order)) return this.rejectStale(order);
     switch (order.kind) {
@@ -77,7 +77,7 @@
   }
 
   /** Runs the next pass unless it must pause; returns its map version. */
-  runStep(): number | undefined {
+  runPass(): number | undefined {
     if (!this.up || !this.running) return undefined;
     if (this.pendingSwitch && this.step >= this.pendingSwitch.switchStep) {
       if (!this.pendingSwitch.committed) return undefined;
--- a/bench/fuzz/logHistory.ts
+++ b/bench/fuzz/logHistory.ts
@@ -21,8 +21,8 @@
   configuration: Configuration = {voters: []};
   acceptedCount = 0;
   barrierCount = 0;
-  installedCount = 0;
-  replacedCount = 0;
+  restoredCount = 0;
+  configurationChangeCount = 0;
   electedCount = 0;
   private readonly leaders = new Map<string, string>();
   private readonly votes = new Map<string, string>();
@@ -56,14 +56,14 @@
     this.committed.push(entry);
     this.assertOnQuorum(entry, activeConfiguration);
     if (entry.body.kind === 'configuration') {
-      this.replacedCount++;
+      this.configurationChangeCount++;
       this.configuration = entry.body.configuration;
     }
   }
 
   /** A restored snapshot must equal the state after the committed entries. */
   onRestored(id: string, index: number, data: string): void {
-    this.installedCount++;
+    this.restoredCount++;
     if (index > this.committed.length || data !== this.stateAt(index))
       throw new InvariantViolation(
         `${id} restored a state at ${index} that differs from the committed entries`
--- a/bench/fuzz/mapModel.ts
+++ b/bench/fuzz/mapModel.ts
@@ -10,8 +10,8 @@
 import type {
   RankAction,
   RankEvent,
-} from '../../src/agent/maps/rankSwitchEvents';
-import {RankSwitch} from '../../src/agent/maps/rankSwitch';
+} from '../../src/agent/maps/rankMapSwitchEvents';
+import {RankMapSwitch} from '../../src/agent/maps/rankMapSwitch';
 import {MapState} from '../../src/control/maps/mapState';
 import {MapSwitch} from '../../src/control/maps/mapSwitch';
 import type {
@@ -28,7 +28,7 @@
 import {LockStepEngine} from './lockStepEngine';
 import type {EngineOrder} from './lockStepEngine';
 import {MapHistory} from './mapHistory';
-import type {EngineMessage, LogRpcMessage, RankMessage} from './mapWires';
+import type {EngineMessage, LogRpcMessage, RankMessage} from './mapMessages';
 import {Network, SeededRandom} from './schedule';
 
 const GROUP = 'g';
@@ -46,7 +46,7 @@
 
 interface RankNode {
   readonly engine: LockStepEngine;
-  agent?: RankSwitch;
+  agent?: RankMapSwitch;
   agentBoot: number;
 }
 
@@ -153,13 +153,13 @@
   private startAgent(rank: number): void {
     const node = this.node(rank);
     node.agentBoot++;
-    node.agent = new RankSwitch({
+    node.agent = new RankMapSwitch({
       group: GROUP,
       rank,
       agentBootId: `a${rank}.${node.agentBoot}`,
       bootAtMs: this.now,
-      quietMs: MAX_ORDER_DELAY_MS,
-      retryMs: 30,
+      maxOrderDelayMs: MAX_ORDER_DELAY_MS,
+      retryIntervalMs: 30,
     });
   }
 
@@ -190,7 +190,7 @@
         return this.broadcast(rank, action.message);
       // Without delay: stage orders are delayed on their way to the agent.
       case 'stageEngine':
-        return void this.node(rank).engine.take(action, false);
+        return void this.node(rank).engine.apply(action, false);
       default:
         return this.orderEngine(rank, action);
     }
@@ -219,7 +219,7 @@
     // A restart of the engine closes the connection, one of the agent does not.
     if (message.engineBoot !== node.engine.boot) return;
     if (message.order) {
-      const answer = node.engine.take(message.order, this.random.chance(0.05));
+      const answer = node.engine.apply(message.order, this.random.chance(0.05));
       if (answer)
         this.engineLink.send('engine', `${rank}`, {
           ...message,
@@ -238,7 +238,7 @@
     for (const {engine} of this.ranks) {
       if (engine.step !== lowest || !this.allRanksReady(lowest)) continue;
       if (this.random.chance(STALL_CHANCE)) continue;
-      const version = engine.runStep();
+      const version = engine.runPass();
       if (version !== undefined) this.history.recordPass(lowest, version);
     }
   }
@@ -260,8 +260,8 @@
       ranks: this.ranks.length,
       holder: `c${index}.${node.boot}`,
       initialMap: EXPERT_MAP,
-      marginSteps: 10,
-      maxMarginSteps: 80,
+      marginPasses: 10,
+      maxMarginPasses: 80,
       promiseTimeoutMs: 300,
       resendMs: 40,
       proposeRetryMs: 500,
--- a/bench/fuzz/memoryDisk.ts
+++ b/bench/fuzz/memoryDisk.ts
@@ -48,7 +48,7 @@
 
   private makeDurable(writes: readonly LogWrite[]): void {
     for (const write of writes) {
-      this.durable = changed(this.durable, write);
+      this.durable = applyWrite(this.durable, write);
       const {term} = this.durable.hard;
       const length = lastIndexOf(this.durable);
       this.longestLogByTerm.set(
@@ -60,7 +60,7 @@
 }
 
 /** Returns the durable state after one write. */
-export function changed(
+export function applyWrite(
   state: DurableState | undefined,
   write: LogWrite
 ): DurableState {
--- a/bench/fuzz/memoryFiles.ts
+++ b/bench/fuzz/memoryFiles.ts
@@ -27,13 +27,13 @@
 /** The disk of one instance; folders exist without being created. */
 export class MemoryFiles implements DiskFiles {
   /** Operations so far, including those that failed. */
-  readonly done: FileOperation[] = [];
+  readonly operations: FileOperation[] = [];
   private names = new Map<string, FileNode>();
   private durableNames = new Map<string, FileNode>();
   private faultHook: (operation: FileOperation) => void = () => undefined;
 
   /** Sets a hook that runs before each operation and may throw. */
-  setFault(fault: (operation: FileOperation) => void): void {
+  setFaultHook(fault: (operation: FileOperation) => void): void {
     this.faultHook = fault;
   }
 
@@ -116,7 +116,7 @@
   }
 
   private startOperation(operation: FileOperation): void {
-    this.done.push(operation);
+    this.operations.push(operation);
     this.faultHook(operation);
   }
 }
--- a/bench/fuzz/onceModel.ts
+++ b/bench/fuzz/onceModel.ts
@@ -7,10 +7,10 @@
 
 import type {RecordedAnswer} from '../../src/core/claims';
 import type {Refusal} from '../../src/core/refusal';
-import {OnceGuard, claimIdOf} from '../../src/agent/onceGuard';
+import {ClaimRegistry, claimIdOf} from '../../src/agent/claimRegistry';
 import {ClaimState} from '../../src/control/state/claimState';
 import type {
-  AskResult,
+  FenceResult,
   OnceAction,
   OnceEvent,
   OnceTarget,
@@ -21,7 +21,7 @@
   TargetRun,
   checkAtMostOnce,
 } from './onceHistory';
-import {CallSubmission, OnceEnvironment} from './onceModelCall';
+import {CallSubmission, OnceEnvironment} from './callSubmission';
 import type {FuzzModel} from './fuzzModel';
 import {SeededRandom} from './schedule';
 import {Timeline} from './timeline';
@@ -40,7 +40,7 @@
 class SimulatedAgent {
   boot = 1;
   up = true;
-  claimRegistry = new OnceGuard();
+  claimRegistry = new ClaimRegistry();
 
   constructor(readonly id: string) {}
 
@@ -50,7 +50,7 @@
 
   restart(): void {
     this.boot++;
-    this.claimRegistry = new OnceGuard();
+    this.claimRegistry = new ClaimRegistry();
     this.up = true;
   }
 }
@@ -286,7 +286,7 @@
     if (decision === 'fenced') return reply(refused('claim-fenced'));
     if (decision !== 'run') return reply(refused('in-progress'));
     if (this.random.chance(0.1)) {
-      agent.claimRegistry.release(claimId);
+      agent.claimRegistry.markNotSent(claimId);
       return reply(refused('target-unreachable'));
     }
     this.runAtTarget(agent, call, claimId, reply);
@@ -309,10 +309,10 @@
         bodyBase64: String(runNumber),
       };
       if (isResponseLost) {
-        claimRegistry.finish(claimId);
+        claimRegistry.markSent(claimId);
         return reply(refused('outcome-unknown'));
       }
-      claimRegistry.finish(claimId, answer);
+      claimRegistry.markSent(claimId, answer);
       if (agent.boot === boot && agent.up) reply({kind: 'answered', answer});
     });
   }
@@ -324,7 +324,7 @@
     onEvent: (event: OnceEvent) => void
   ): void {
     const agent = this.agentOf(target);
-    this.callWithTimeout<AskResult>(
+    this.callWithTimeout<FenceResult>(
       RPC_TIMEOUT_MS,
       () => {
         if (!agent.up) return undefined;
@@ -333,7 +333,8 @@
           claimIdOf(CUSTOMER, call.key, attempt)
         );
       },
-      result => onEvent({kind: 'asked', result: result ?? {kind: 'no answer'}})
+      result =>
+        onEvent({kind: 'fence result', result: result ?? {kind: 'no answer'}})
     );
   }
 
--- a/bench/fuzz/rampModel.ts
+++ b/bench/fuzz/rampModel.ts
@@ -6,10 +6,10 @@
 
 import {
   freshRamp,
-  rampCold,
+  restartRamp,
   rampLimit,
   rampRuleChanged,
-  rampServed,
+  rampAfterResponse,
   type RampState,
   type WarmupLimits,
 } from '../../src/policy/ramp';
@@ -69,7 +69,7 @@
       outstanding: this.random.int(0, limit + 2),
       slowdown: this.random.pick([1, 1.2, 1.9, 2.3, 5]),
     };
-    this.state = rampServed(this.state, this.rule, sample);
+    this.state = rampAfterResponse(this.state, this.rule, sample);
     const after = this.state.level ?? this.rule.start;
     this.provenLimit = this.limit();
     const span = Math.max(this.rule.full - this.rule.start, 0);
@@ -99,7 +99,7 @@
   }
 
   private turnCold(): void {
-    this.state = rampCold(this.state, this.now);
+    this.state = restartRamp(this.state, this.now);
     this.coldAt = this.now;
     this.provenLimit = 0;
     this.ruleChanged = false;
--- a/bench/measures/balance.ts
+++ b/bench/measures/balance.ts
@@ -10,7 +10,7 @@
   Cluster,
   engineCapacity,
   LARGE,
-  OUR_GATE,
+  PRODUCT_GATE,
   SHANNONSIDE,
   type DeploymentShape,
 } from '../emulator/cluster';
@@ -54,8 +54,8 @@
     {
       shape,
       chooser,
-      gate: OUR_GATE,
-      entry: {retries: true, gradualReturn: true, answersCarryLoad: true},
+      gate: PRODUCT_GATE,
+      entry: {retries: true, gradualReturn: true, responsesCarryLoad: true},
       maxReportLagMs: MAX_REPORT_LAG_MS,
       seed,
     },
@@ -63,7 +63,8 @@
     [{name: 'all', fromMs: WARM_UP_MS, toMs: endMs}]
   );
   cluster.targets.forEach(({gate}, index) => {
-    if (index % STRAGGLER_INTERVAL === 0) gate.engine.slow = STRAGGLER_SLOWDOWN;
+    if (index % STRAGGLER_INTERVAL === 0)
+      gate.engine.slowdown = STRAGGLER_SLOWDOWN;
   });
   cluster.events.runUntil(endMs + SETTLE_MS);
   const figures = cluster.recorder.window('all');
--- a/bench/measures/coldStart.ts
+++ b/bench/measures/coldStart.ts
@@ -3,10 +3,15 @@
  * and the time until it takes full load, behind a gate with excess demand.
  */
 
-import {Engine, ENGINE_SHAPE, type ColdShape} from '../emulator/engine';
+import {Engine, ENGINE_SHAPE, type ColdStartProfile} from '../emulator/engine';
 import {EventQueue} from '../emulator/eventQueue';
 import {Gate, type GateOptions} from '../emulator/gate';
-import {COLD, OUR_GATE, WARMUP, engineCapacity} from '../emulator/cluster';
+import {
+  COLD_START,
+  PRODUCT_GATE,
+  WARMUP,
+  engineCapacity,
+} from '../emulator/cluster';
 import {tenCustomers, Workload} from '../emulator/workload';
 import type {
   Figures,
@@ -18,7 +23,7 @@
 
 interface Scenario {
   readonly name: string;
-  readonly cold: ColdShape;
+  readonly cold: ColdStartProfile;
   /** Demand relative to the throughput of a warm engine. */
   readonly load: number;
   readonly inject?: (run: Run) => void;
@@ -37,30 +42,30 @@
 const NEVER = -1;
 
 const SCENARIOS: readonly Scenario[] = [
-  {name: 'asTheRuleSays', cold: COLD, load: FLOOD_LOAD},
+  {name: 'asTheRuleSays', cold: COLD_START, load: FLOOD_LOAD},
   {
     name: 'twiceAsSlow',
-    cold: {...COLD, warmMs: COLD.warmMs * 2},
+    cold: {...COLD_START, warmMs: COLD_START.warmMs * 2},
     load: FLOOD_LOAD,
   },
-  {name: 'slowAtFirst', cold: {...COLD, exponent: 2}, load: FLOOD_LOAD},
-  {name: 'moderateLoad', cold: COLD, load: 0.6},
+  {name: 'slowAtFirst', cold: {...COLD_START, exponent: 2}, load: FLOOD_LOAD},
+  {name: 'moderateLoad', cold: COLD_START, load: 0.6},
   {
     name: 'ruleRaisedMidRamp',
-    cold: {...COLD, exponent: 2},
+    cold: {...COLD_START, exponent: 2},
     load: FLOOD_LOAD,
     inject: ({events, gate}) =>
       events.after(8000, () => gate.configure({...WARMUP, start: 32})),
   },
   {
     name: 'agentRestartsMidRamp',
-    cold: COLD,
+    cold: COLD_START,
     load: FLOOD_LOAD,
     inject: ({events, engine, gate}) =>
       events.after(10_000, () => {
         engine.kill(true);
         gate.restart();
-        engine.revive(COLD);
+        engine.revive(COLD_START);
       }),
   },
 ];
@@ -115,13 +120,13 @@
   for (let at = SAMPLE_MS; at <= END_MS; at += SAMPLE_MS) {
     events.runUntil(at);
     points.push({x: at / 1000, y: engine.running});
-    const isWarm = engine.bearable() === Infinity && engine.isAlive;
+    const isWarm = engine.capacity() === Infinity && engine.isAlive;
     const takesFullLoad = gate.limit >= WARMUP.full && isWarm;
     if (takesFullLoad && fullAtMs === Infinity) fullAtMs = at;
   }
   return {
-    maxRatioToCapacity: engine.mostOverBearable,
-    falls: engine.falls,
+    maxRatioToCapacity: engine.maxLoadRatio,
+    falls: engine.crashCount,
     fullAtMs,
     curve: {name: scenario.name, points},
   };
@@ -170,10 +175,12 @@
           scenario => [scenario, runScenario(scenario, gate, seed)] as const
         )
     );
-  const runs = runAll(OUR_GATE);
+  const runs = runAll(PRODUCT_GATE);
   const ours = summarize(runs);
-  const wholeAnswers = summarize(runAll({...OUR_GATE, samples: 'answers'}));
-  const noRamp = summarize(runAll({...OUR_GATE, ramp: false}));
+  const wholeAnswers = summarize(
+    runAll({...PRODUCT_GATE, samples: 'responses'})
+  );
+  const noRamp = summarize(runAll({...PRODUCT_GATE, ramp: false}));
   const met = ours['mostOverBearable']! <= 1;
   return {
     ours,
--- a/bench/measures/controlCost.ts
+++ b/bench/measures/controlCost.ts
@@ -96,7 +96,7 @@
 
   private async window(during: Promise<unknown>): Promise<ByRole> {
     const names = this.deployment
-      .names()
+      .processNames()
       .filter(name => !name.startsWith('fake-'));
     const pids = names.map(name => this.deployment.child(name).pid);
     const cpuBefore = pids.map(processorMs);
--- a/bench/measures/expertPolicies.ts
+++ b/bench/measures/expertPolicies.ts
@@ -2,7 +2,7 @@
 
 import type {ExpertMap} from '../../src/core/mapMessages';
 import type {PlacementShape, SlotChange} from '../../src/policy/placement';
-import {loadsNeeded, mapSkew} from '../../src/policy/placement';
+import {weightLoadsByRank, mapSkew} from '../../src/policy/placement';
 import {
   placeFromScratch,
   relabelToFewestLoads,
@@ -92,7 +92,7 @@
   protected abstract decide(nowMs: number): void;
 
   protected startSwitch(map: ExpertMap, leadMs: number, nowMs: number): void {
-    const loads = loadsNeeded(this.map, map).reduce((a, b) => a + b, 0);
+    const loads = weightLoadsByRank(this.map, map).reduce((a, b) => a + b, 0);
     this.cost.loads += loads;
     this.cost.switches++;
     this.cost.lostMs += planCostMs(this.setup.cfg, loads);
@@ -120,7 +120,7 @@
 
   protected override decide(nowMs: number): void {
     if (nowMs < this.nextMs || this.pending) return;
-    if (!this.estimate.known) return;
+    if (!this.estimate.hasSamples) return;
     const popularity = this.estimate.predict(
       nowMs + this.setup.cfg.switchLeadMs
     );
--- a/bench/measures/expertRun.ts
+++ b/bench/measures/expertRun.ts
@@ -11,7 +11,7 @@
 import {IncrementalPolicy, ScratchPolicy, StaticPolicy} from './expertPolicies';
 import type {WorldConfig} from './expertWorld';
 import {ExpertWorld, gaussian, WORLD} from './expertWorld';
-import {PerfectForecast} from './foreseenPopularity';
+import {PerfectForecast} from './perfectForecast';
 
 const SPARE_SLOTS = 32;
 const TICK_MS = 250;
--- a/bench/measures/fairness.ts
+++ b/bench/measures/fairness.ts
@@ -6,7 +6,7 @@
 import {
   Cluster,
   engineCapacity,
-  OUR_GATE,
+  PRODUCT_GATE,
   SHANNONSIDE,
 } from '../emulator/cluster';
 import type {GateOptions} from '../emulator/gate';
@@ -51,7 +51,7 @@
       shape: SHANNONSIDE,
       chooser: 'ours',
       gate,
-      entry: {retries: true, gradualReturn: true, answersCarryLoad: false},
+      entry: {retries: true, gradualReturn: true, responsesCarryLoad: false},
       maxReportLagMs: 5000,
       seed,
     },
@@ -159,8 +159,8 @@
   const span: PhaseDurations = options.quick
     ? {calmMs: 120_000, floodMs: 120_000}
     : {calmMs: 600_000, floodMs: 600_000};
-  const ours = figuresOf(runOne(OUR_GATE, options.seed, span), span);
-  const fifoGate: GateOptions = {...OUR_GATE, queue: 'fifo'};
+  const ours = figuresOf(runOne(PRODUCT_GATE, options.seed, span), span);
+  const fifoGate: GateOptions = {...PRODUCT_GATE, queue: 'fifo'};
   const fifo = figuresOf(runOne(fifoGate, options.seed, span), span);
   const cause = failureCause(ours);
   return {
--- a/bench/measures/fleet.ts
+++ b/bench/measures/fleet.ts
@@ -3,10 +3,14 @@
  * over a day, for each policy that assigns models to targets.
  */
 
-import {greedyPolicy, ourPolicy, staticPolicy} from '../fleet/fleetPolicies';
+import {
+  greedyPolicy,
+  productPolicy,
+  staticPolicy,
+} from '../fleet/fleetPolicies';
 import type {FleetPolicy} from '../fleet/fleetPolicies';
-import {FULL, FleetWorld} from '../fleet/fleetWorld';
-import type {WorldShape} from '../fleet/fleetWorld';
+import {WARM_CONCURRENCY, FleetSimulation} from '../fleet/fleetSimulation';
+import type {FleetShape} from '../fleet/fleetSimulation';
 import type {Figures, Measure, MeasureOptions, MeasureResult} from '../measure';
 
 const HOURS = 24;
@@ -15,7 +19,7 @@
 function shapes({
   quick,
   seed,
-}: MeasureOptions): Readonly<Record<string, WorldShape>> {
+}: MeasureOptions): Readonly<Record<string, FleetShape>> {
   return {
     twelve: {
       targets: 12,
@@ -36,16 +40,16 @@
   };
 }
 
-function runOne(shape: WorldShape, policy: FleetPolicy): FleetWorld {
-  const world = new FleetWorld(shape);
-  while (!world.over) {
-    world.order(policy(world));
+function runOne(shape: FleetShape, policy: FleetPolicy): FleetSimulation {
+  const world = new FleetSimulation(shape);
+  while (!world.isOver) {
+    world.applyOrders(policy(world));
     world.tick();
   }
   return world;
 }
 
-function figuresOf(name: string, {totals}: FleetWorld, tickMs: number) {
+function figuresOf(name: string, {totals}: FleetSimulation, tickMs: number) {
   const {demand, served, waiting, loadedGb} = totals;
   return {
     [`${name}ServedRatio`]: served / demand,
@@ -71,14 +75,14 @@
 /** Upper bound of the served ratio, as if every target could serve every model. */
 function boundOf(options: MeasureOptions): Figures {
   const parts = Object.entries(shapes(options)).map(([name, shape]) => {
-    const world = new FleetWorld(shape);
+    const world = new FleetSimulation(shape);
     let demand = 0;
     let served = 0;
-    while (!world.over) {
+    while (!world.isOver) {
       world.tick();
       const now = world.demand.reduce((a, b) => a + b, 0);
       demand += now;
-      served += Math.min(now, shape.targets * FULL);
+      served += Math.min(now, shape.targets * WARM_CONCURRENCY);
     }
     return {[`${name}ServedRatio`]: served / demand};
   });
@@ -103,7 +107,7 @@
 }
 
 async function run(options: MeasureOptions): Promise<MeasureResult> {
-  const ours = allShapes(options, ourPolicy);
+  const ours = allShapes(options, productPolicy);
   const greedy = allShapes(options, greedyPolicy);
   const unchanged = allShapes(options, staticPolicy);
   const cause = failureCause(ours, [unchanged, greedy], greedy);
--- a/bench/measures/foreseenPopularity.ts
+++ b/bench/measures/perfectForecast.ts
@@ -5,7 +5,7 @@
 
 /** Forecasts by running a second world with the same seed ahead of the first. */
 export class PerfectForecast implements PopularityForecast {
-  readonly known = true;
+  readonly hasSamples = true;
   private readonly byTick: (readonly number[])[] = [];
 
   constructor(
--- a/bench/measures/zoneOutage.ts
+++ b/bench/measures/zoneOutage.ts
@@ -7,9 +7,9 @@
 import {
   ABZEICHENWERK,
   Cluster,
-  COLD,
+  COLD_START,
   engineCapacity,
-  OUR_GATE,
+  PRODUCT_GATE,
   SHANNONSIDE,
   type ClusterOptions,
   type DeploymentShape,
@@ -48,8 +48,8 @@
 const FIRST_TOKEN_MS = 2000;
 
 const OURS: Policy = {
-  gate: {...OUR_GATE, firstTokenMs: FIRST_TOKEN_MS},
-  entry: {retries: true, gradualReturn: true, answersCarryLoad: true},
+  gate: {...PRODUCT_GATE, firstTokenMs: FIRST_TOKEN_MS},
+  entry: {retries: true, gradualReturn: true, responsesCarryLoad: true},
 };
 
 const BASELINES: Readonly<Record<string, Policy>> = {
@@ -91,10 +91,10 @@
   if (kind !== 'sudden') {
     // The outage stands for maintenance, which restarts the engines: they return cold.
     zone.forEach(({gate}) => gate.engine.kill(false));
-    cluster.reviveZone(ZONE, COLD);
+    cluster.reviveZone(ZONE, COLD_START);
     cluster.setZoneOut(ZONE, false);
   } else {
-    cluster.reviveZone(ZONE, COLD);
+    cluster.reviveZone(ZONE, COLD_START);
   }
   events.runUntil(END_MS + DRAIN_MS);
   return Math.max(0, last - OUT_AT_MS);
@@ -140,8 +140,8 @@
     betweenTokensP95OutRatio: between(out!) / between(steady!),
     betweenTokensP95ReturnRatio: between(back!) / between(steady!),
     resumeGapP95Ms: WindowFigures.ms(out!.resumeGap, 95),
-    coldOverBearable: Math.max(...engines.map(e => e.mostOverBearable)),
-    coldFalls: engines.reduce((total, engine) => total + engine.falls, 0),
+    coldOverBearable: Math.max(...engines.map(e => e.maxLoadRatio)),
+    coldFalls: engines.reduce((total, engine) => total + engine.crashCount, 0),
   };
 }
 
--- a/bench/quickstart.ts
+++ b/bench/quickstart.ts
@@ -10,7 +10,7 @@
   call,
   chat,
   isExactStream,
-  newKey,
+  newIdempotencyKey,
 } from './deployment/callers';
 import {Deployment} from './deployment/deployment';
 import {BUILT_PROGRAMS} from './deployment/programs';
@@ -129,7 +129,7 @@
   }
 
   private async assignOnce(): Promise<void> {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const resends = await Promise.all(
       [0, 1, 0, 1].map(i => assign(this.port(i), key, 7))
     );
@@ -222,7 +222,7 @@
 async function main(): Promise<number> {
   const startedAtMs = performance.now();
   const deployment = await Deployment.start(BUILT_PROGRAMS, SHANNONSIDE);
-  const count = deployment.names().length;
+  const count = deployment.processNames().length;
   const startMs = Math.round(performance.now() - startedAtMs);
   process.stdout.write(`${count} processes started in ${startMs} ms\n\n`);
   const quickstart = new Quickstart(deployment);
--- a/fakes/ledger.ts
+++ b/fakes/ledger.ts
@@ -80,7 +80,7 @@
   }
 
   /** Injects a fault into the next matching requests. */
-  breakNext(fault: z.input<typeof FAULT>): void {
+  injectFault(fault: z.input<typeof FAULT>): void {
     this.faults.push(FAULT.parse(fault));
   }
 
@@ -99,7 +99,7 @@
   ): Promise<void> {
     switch (pathOf(req)) {
       case '/fake/fault':
-        this.breakNext(FAULT.parse(parseJson(body)));
+        this.injectFault(FAULT.parse(parseJson(body)));
         return sendJson(res, 200, {});
       case '/fake/state':
         return sendJson(res, 200, this.report());
--- a/src/agent/agentCore.ts
+++ b/src/agent/agentCore.ts
@@ -21,7 +21,7 @@
 } from '../target/targetAdapter';
 import {admissionRefusal} from './admission';
 import {Gate} from './gate';
-import {OnceGuard} from './onceGuard';
+import {ClaimRegistry} from './claimRegistry';
 import {PrefixMemory} from './prefixMemory';
 import {TargetState} from './targetState';
 
@@ -67,7 +67,7 @@
   readonly metrics: Metrics;
   /** Internal port; set after the server has started to listen. */
   port = 0;
-  private guard = new OnceGuard();
+  private registry = new ClaimRegistry();
   private bootId = randomUUID();
   private bootAtMs = Date.now();
   private seq = 0;
@@ -103,8 +103,8 @@
     return this.bootId;
   }
 
-  get once(): OnceGuard {
-    return this.guard;
+  get claimRegistry(): ClaimRegistry {
+    return this.registry;
   }
 
   get rules(): RuleIndex | undefined {
@@ -117,8 +117,8 @@
   }
 
   /** Reports a rule revision that an entry has; it may be newer than ours. */
-  sawRevision(revision: number): void {
-    this.sync?.sawRevision(revision);
+  observeRevision(revision: number): void {
+    this.sync?.observeRevision(revision);
   }
 
   warmup(): WarmupLimits {
@@ -174,9 +174,9 @@
     return this.observation;
   }
 
-  /** See `OnceGuard.full`. */
+  /** See `ClaimRegistry.full`. */
   renewBootIfFull(): void {
-    if (!this.guard.full) return;
+    if (!this.registry.isFull) return;
     this.logger.info(
       {bootId: this.bootId},
       'claim record is full; renewing the boot id'
@@ -185,7 +185,7 @@
   }
 
   private renewBoot(): void {
-    this.guard = new OnceGuard();
+    this.registry = new ClaimRegistry();
     this.bootId = randomUUID();
     this.bootAtMs = Date.now();
   }
--- a/src/agent/agentProcess.ts
+++ b/src/agent/agentProcess.ts
@@ -5,7 +5,7 @@
 import type {Logger} from '../core/logger';
 import type {Metrics} from '../core/metrics';
 import {METHODS, fenceClaimRequest, modelOrder} from '../rpc/messages';
-import {PeerClient, createPeerAgent} from '../rpc/peerClient';
+import {PeerClient, createPeerHttpsAgent} from '../rpc/peerClient';
 import {PeerTraffic} from '../rpc/peerTraffic';
 import {PeerServer} from '../rpc/peerServer';
 import type {AgentSettings} from '../settings/settings';
@@ -17,7 +17,7 @@
 import {createModelChange} from './fleet/createModelChange';
 import type {ModelChange} from './fleet/modelChange';
 import {RankRole} from './maps/rankRole';
-import {TO_RANK} from './maps/toRankSchema';
+import {TO_RANK_MESSAGE} from './maps/toRankMessageSchema';
 import {probeTarget, watchTarget} from './targetWatcher';
 
 const DRAIN_POLL_INTERVAL_MS = 50;
@@ -69,7 +69,7 @@
     if (target.kind === 'engine') core.beginModelChange();
     core.port = await server.listen();
     const traffic = new PeerTraffic();
-    const peerAgent = createPeerAgent(internal.key, process.id);
+    const peerAgent = createPeerHttpsAgent(internal.key, process.id);
     const instances = settings.control.instances.map(
       address => new PeerClient(address, peerAgent, traffic)
     );
@@ -77,7 +77,7 @@
     core.attach(sync);
     const rankRole = new RankRole(core, instances, () => probeTarget(core));
     server.addMethod(METHODS.map, {
-      params: TO_RANK,
+      params: TO_RANK_MESSAGE,
       handle: message => {
         rankRole.receive(message);
         return {};
@@ -112,7 +112,7 @@
   async drain(): Promise<void> {
     this.core.leave();
     const startedAtMs = performance.now();
-    await this.sync.announceNow();
+    await this.sync.announceLeaving();
     const noticeEndsAtMs = startedAtMs + MIN_LEAVE_NOTICE_MS;
     const drainEndsAtMs = Math.max(
       noticeEndsAtMs,
@@ -172,7 +172,7 @@
       take(1)
     )
     .subscribe(({index}) => {
-      if (index.serves(core.target.pool).length === 0)
+      if (index.serveRules(core.target.pool).length === 0)
         core.endModelChange(false);
       else void modelChange.recover();
     });
--- a/src/agent/onceGuard.ts
+++ b/src/agent/claimRegistry.ts
@@ -21,7 +21,7 @@
 export type ClaimVerdict = 'run' | 'fenced' | 'running' | 'ran';
 
 /** The claims of one boot, by customer, key and attempt. */
-export class OnceGuard {
+export class ClaimRegistry {
   private readonly claims = new Map<string, ClaimState>();
   private readonly answered: string[] = [];
 
@@ -37,7 +37,7 @@
   }
 
   /** Fences a claim whose request was never sent to the target. */
-  release(claimId: string): void {
+  markNotSent(claimId: string): void {
     // The entry is told "not run" and needs a new claim for another attempt.
     this.claims.set(claimId, {kind: 'fenced'});
   }
@@ -46,7 +46,7 @@
    * Records that the request was sent, with its response if complete and small
    * enough.
    */
-  finish(claimId: string, answer?: RecordedAnswer): void {
+  markSent(claimId: string, answer?: RecordedAnswer): void {
     this.claims.set(claimId, {kind: 'ran', answer});
     if (answer === undefined) return;
     this.answered.push(claimId);
@@ -68,7 +68,7 @@
    * a late dispatch of it run; with a new boot id, every dispatch to the old
    * one is refused, so the record can be discarded.
    */
-  get full(): boolean {
+  get isFull(): boolean {
     return this.claims.size >= MAX_CLAIMS;
   }
 }
--- a/src/agent/fenceClaim.ts
+++ b/src/agent/fenceClaim.ts
@@ -2,7 +2,7 @@
 
 import type {FenceClaimAnswer, FenceClaimRequest} from '../rpc/messages';
 import type {AgentCore} from './agentCore';
-import {claimIdOf} from './onceGuard';
+import {claimIdOf} from './claimRegistry';
 
 /** Fences the claim permanently if it has not started in this boot. */
 export function fenceClaim(
@@ -11,5 +11,5 @@
 ): FenceClaimAnswer {
   if (request.agentBootId !== core.agentBootId) return {kind: 'other boot'};
   const {customer, key, attempt} = request;
-  return core.once.fence(claimIdOf(customer, key, attempt));
+  return core.claimRegistry.fence(claimIdOf(customer, key, attempt));
 }
--- a/src/agent/maps/rankController.ts
+++ b/src/agent/maps/rankController.ts
@@ -17,8 +17,12 @@
 import type {FromRankMessage, ToRankMessage} from '../../core/mapMessages';
 import type {Metrics} from '../../core/metrics';
 import type {RankEngine} from './rankEngine';
-import type {RankAction, RankEvent, RankSwitchConfig} from './rankSwitchEvents';
-import {RankSwitch} from './rankSwitch';
+import type {
+  RankAction,
+  RankEvent,
+  RankMapSwitchConfig,
+} from './rankMapSwitchEvents';
+import {RankMapSwitch} from './rankMapSwitch';
 
 /** Sends the rank's messages to control. */
 export interface ControlLink {
@@ -27,9 +31,9 @@
 }
 
 /** Settings of the controller and its state machine. */
-export interface RankControllerConfig extends RankSwitchConfig {
+export interface RankControllerConfig extends RankMapSwitchConfig {
   /** Interval of the engine observations, milliseconds. */
-  readonly observeMs: number;
+  readonly observeIntervalMs: number;
 }
 
 type EngineAction = Exclude<RankAction, {kind: 'send'}>;
@@ -41,7 +45,7 @@
  * actions.
  */
 export class RankController {
-  private readonly machine: RankSwitch;
+  private readonly machine: RankMapSwitch;
   private readonly orders = new Subject<SerialAction>();
   private readonly loads = new Subject<StageAction>();
 
@@ -52,7 +56,7 @@
     private readonly metrics: Metrics,
     private readonly logger: Logger
   ) {
-    this.machine = new RankSwitch(cfg);
+    this.machine = new RankMapSwitch(cfg);
   }
 
   /** Whether the engine takes part in passes and the rank accepts orders. */
@@ -61,12 +65,13 @@
   }
 
   start(): Subscription {
-    const views = timer(0, this.cfg.observeMs).pipe(
+    const views = timer(0, this.cfg.observeIntervalMs).pipe(
       exhaustMap(() => this.observe())
     );
-    const ticks = timer(this.cfg.retryMs, this.cfg.retryMs).pipe(
-      map((): RankEvent => ({kind: 'tick'}))
-    );
+    const ticks = timer(
+      this.cfg.retryIntervalMs,
+      this.cfg.retryIntervalMs
+    ).pipe(map((): RankEvent => ({kind: 'tick'})));
     // One order at a time: of two concurrent orders, the engine could apply the
     // older one last. Weight loads have their own queue, since no promise
     // depends on them: a decision queued behind one would be seconds late, and
--- a/src/agent/maps/rankEngine.ts
+++ b/src/agent/maps/rankEngine.ts
@@ -6,7 +6,7 @@
   StageMessage,
   SwitchId,
 } from '../../core/mapMessages';
-import type {EngineView, PrepareResult} from './rankSwitchEvents';
+import type {EngineView, PrepareResult} from './rankMapSwitchEvents';
 
 /** The maps for a rank that has just started. */
 export interface StartOrder {
--- a/src/agent/maps/rankSwitch.ts
+++ b/src/agent/maps/rankMapSwitch.ts
@@ -20,8 +20,8 @@
   EngineView,
   RankAction,
   RankEvent,
-  RankSwitchConfig,
-} from './rankSwitchEvents';
+  RankMapSwitchConfig,
+} from './rankMapSwitchEvents';
 
 interface PendingSwitch {
   readonly id: SwitchId;
@@ -36,7 +36,7 @@
 type Stage = 'joining' | 'starting' | 'ready';
 
 /** State machine of one rank; the caller executes the actions in order. */
-export class RankSwitch {
+export class RankMapSwitch {
   private stage: Stage = 'joining';
   private view?: EngineView;
   private attempt = 0;
@@ -46,7 +46,7 @@
   private pending?: PendingSwitch;
   private lastRequestAtMs = -Infinity;
 
-  constructor(private readonly cfg: RankSwitchConfig) {}
+  constructor(private readonly cfg: RankMapSwitchConfig) {}
 
   get ready(): boolean {
     return this.stage === 'ready';
@@ -265,7 +265,7 @@
   }
 
   private onTick(nowMs: number): readonly RankAction[] {
-    if (nowMs - this.lastRequestAtMs < this.cfg.retryMs) return [];
+    if (nowMs - this.lastRequestAtMs < this.cfg.retryIntervalMs) return [];
     const requests = this.dueRequests(nowMs);
     if (requests.length > 0) this.lastRequestAtMs = nowMs;
     return requests;
@@ -283,7 +283,8 @@
   private join(nowMs: number): readonly RankAction[] {
     // Orders of the previous agent boot may still reach the engine, and could
     // undo a promise that is given before they expire.
-    const earlierOrdersExpired = nowMs - this.cfg.bootAtMs >= this.cfg.quietMs;
+    const earlierOrdersExpired =
+      nowMs - this.cfg.bootAtMs >= this.cfg.maxOrderDelayMs;
     if (!earlierOrdersExpired || !this.view) return [];
     const {group, rank} = this.cfg;
     const attempt = this.attemptId();
--- a/src/agent/maps/rankSwitchEvents.ts
+++ b/src/agent/maps/rankMapSwitchEvents.ts
@@ -69,13 +69,13 @@
     };
 
 /** Identity of the rank, and times in milliseconds. */
-export interface RankSwitchConfig {
+export interface RankMapSwitchConfig {
   readonly group: string;
   readonly rank: number;
   readonly agentBootId: string;
   readonly bootAtMs: number;
   /** Longest time after which an order to the engine can still take effect. */
-  readonly quietMs: number;
+  readonly maxOrderDelayMs: number;
   /** Interval at which an unanswered request is repeated. */
-  readonly retryMs: number;
+  readonly retryIntervalMs: number;
 }
--- a/src/agent/maps/targetRankEngine.ts
+++ b/src/agent/maps/targetRankEngine.ts
@@ -8,7 +8,7 @@
   TargetOrder,
 } from '../../target/targetAdapter';
 import type {DecideOrder, RankEngine, StartOrder} from './rankEngine';
-import type {EngineView, PrepareResult} from './rankSwitchEvents';
+import type {EngineView, PrepareResult} from './rankMapSwitchEvents';
 
 const ORDER_TIMEOUT_MS = 2_000;
 /** The weight store limits the rate of loads, so one may take long. */
--- a/src/agent/serveDispatch.ts
+++ b/src/agent/serveDispatch.ts
@@ -12,16 +12,16 @@
 import {refuse} from '../core/refusal';
 import {
   UpstreamError,
-  cutOff,
+  abortConnection,
   hasBody,
-  relayAnswer,
+  relayBody,
   sendUpstream,
 } from '../core/upstream';
 import {Dispatch, REPORT_HEADER} from '../core/wire';
 import {enginePriority} from '../policy/enginePriority';
 import type {AgentCore} from './agentCore';
 import type {Slot} from './gate';
-import {claimIdOf} from './onceGuard';
+import {claimIdOf} from './claimRegistry';
 
 /** Largest response of a non-idempotent call that is kept for resends. */
 const MAX_RECORDED_BODY_BYTES = 64 * 1024;
@@ -42,7 +42,7 @@
   req: IncomingMessage,
   res: ServerResponse
 ): Promise<void> {
-  core.sawRevision(dispatch.revision);
+  core.observeRevision(dispatch.revision);
   const callerGone = new Cancellation();
   // The close after a complete response cancels nothing.
   res.on('close', () => {
@@ -79,7 +79,7 @@
   // fenced claims discarded.
   if (dispatch.agentBootId !== core.agentBootId)
     throw refuse('target-changed', 'gate', core.targetId, 'a new boot id');
-  const verdict = core.once.begin(claimId);
+  const verdict = core.claimRegistry.begin(claimId);
   switch (verdict) {
     case 'run':
       core.renewBootIfFull();
@@ -153,7 +153,7 @@
         return this.onResponseComplete(response);
       case 'source cut':
         this.failed();
-        return cutOff(res);
+        return abortConnection(res);
       case 'sink closed':
         return this.onCallerGone(response);
     }
@@ -162,7 +162,7 @@
   private relay(response: IncomingMessage, res: ServerResponse) {
     const type = response.headers['content-type'] ?? '';
     this.isStream = type.startsWith(EVENT_STREAM);
-    return relayAnswer(response, res, chunk => {
+    return relayBody(response, res, chunk => {
       this.record(chunk);
       if (this.isStream) this.recordTokenGap(res);
     });
@@ -229,7 +229,7 @@
     const {core, claimId} = this;
     const notSent = err instanceof UpstreamError && !err.sent;
     if (notSent) {
-      if (claimId !== undefined) core.once.release(claimId);
+      if (claimId !== undefined) core.claimRegistry.markNotSent(claimId);
       core.state.markUnreachable(performance.now());
       this.slot.release();
       return refuse(
@@ -241,7 +241,7 @@
     }
     if (this.callerGone.aborted) void this.cancelThenRelease();
     else this.failed();
-    if (claimId !== undefined) core.once.finish(claimId);
+    if (claimId !== undefined) core.claimRegistry.markSent(claimId);
     return refuse('outcome-unknown', 'target', core.adapter.peer, String(err));
   }
 
@@ -266,7 +266,7 @@
     const nowMs = performance.now();
     const {core, dispatch, startedAtMs} = this;
     if (this.claimId !== undefined)
-      core.once.finish(this.claimId, this.answerForRecord(response));
+      core.claimRegistry.markSent(this.claimId, this.answerForRecord(response));
     const outstanding = core.gate.outstanding;
     const sample = {nowMs, startedAtMs, outstanding, cost: dispatch.cost};
     // For a stream, the gaps between its tokens are recorded instead.
@@ -287,7 +287,7 @@
 
   private failed(): void {
     const {core, claimId} = this;
-    if (claimId !== undefined) core.once.finish(claimId);
+    if (claimId !== undefined) core.claimRegistry.markSent(claimId);
     core.state.restartRamp(performance.now());
     core.metrics.count('gate.cold', {reason: 'connection lost'});
     this.slot.release();
--- a/src/agent/targetState.ts
+++ b/src/agent/targetState.ts
@@ -8,22 +8,22 @@
   ConcurrencyState,
   concurrencyLimit,
   freshConcurrency,
-  latencyRise,
-  learnLatency,
-  observeLatency,
+  latencyRatio,
+  recordLatency,
+  adjustConcurrency,
 } from '../policy/concurrencyLimit';
 import {
   RampState,
   WarmupLimits,
   freshRamp,
-  rampCold,
-  rampComplete,
+  restartRamp,
+  isRampComplete,
   rampLimit,
   rampRuleChanged,
-  rampServed,
+  rampAfterResponse,
 } from '../policy/ramp';
 import type {TargetObservation} from '../target/targetAdapter';
-import {TokenGap, TokenLatencyMonitor} from './tokenPace';
+import {TokenGap, TokenLatencyMonitor} from './tokenLatencyMonitor';
 
 /** Why the target is considered cold. */
 export type ColdReason =
@@ -76,7 +76,7 @@
     this.targetBootId = observation.bootId;
     this.reportedCold = observation.cold === true;
     this.isReady = observation.state === 'ready';
-    if (reason !== undefined) this.ramp = rampCold(this.ramp, nowMs);
+    if (reason !== undefined) this.ramp = restartRamp(this.ramp, nowMs);
     return reason;
   }
 
@@ -87,7 +87,7 @@
    */
   markUnreachable(nowMs: number): void {
     this.isReady = false;
-    this.ramp = rampCold(this.ramp, nowMs);
+    this.ramp = restartRamp(this.ramp, nowMs);
   }
 
   /**
@@ -95,7 +95,7 @@
    * such as after a request that lost its connection.
    */
   restartRamp(nowMs: number): void {
-    this.ramp = rampCold(this.ramp, nowMs);
+    this.ramp = restartRamp(this.ramp, nowMs);
   }
 
   recordResponse(sample: ResponseSample, rule: WarmupLimits): void {
@@ -103,11 +103,11 @@
     const concurrency = this.applyRule(rule, nowMs);
     const latencyMs = (nowMs - startedAtMs) / Math.max(1, cost);
     // During the warmup, only the ramp reacts to high latency.
-    this.concurrency = rampComplete(this.ramp, rule)
-      ? observeLatency(concurrency, rule, {latencyMs, outstanding})
-      : learnLatency(concurrency, latencyMs);
-    const slowdown = latencyRise(this.concurrency);
-    this.ramp = rampServed(this.ramp, rule, {
+    this.concurrency = isRampComplete(this.ramp, rule)
+      ? adjustConcurrency(concurrency, rule, {latencyMs, outstanding})
+      : recordLatency(concurrency, latencyMs);
+    const slowdown = latencyRatio(this.concurrency);
+    this.ramp = rampAfterResponse(this.ramp, rule, {
       nowMs,
       startedAtMs,
       outstanding,
@@ -123,9 +123,10 @@
    */
   recordTokenGap(gap: TokenGap, rule: WarmupLimits): void {
     this.applyRule(rule, gap.nowMs);
-    const isWarm = rampComplete(this.ramp, rule);
+    const isWarm = isRampComplete(this.ramp, rule);
     const sample = this.tokenLatency.recordGap(gap, rule, isWarm);
-    if (sample !== undefined) this.ramp = rampServed(this.ramp, rule, sample);
+    if (sample !== undefined)
+      this.ramp = rampAfterResponse(this.ramp, rule, sample);
   }
 
   /**
@@ -169,7 +170,7 @@
   }
 
   temperature(rule: WarmupLimits): Temperature {
-    if (rampComplete(this.ramp, rule)) return 'warm';
+    if (isRampComplete(this.ramp, rule)) return 'warm';
     return this.ramp.level === undefined ? 'cold' : 'warming';
   }
 
--- a/src/agent/tokenPace.ts
+++ b/src/agent/tokenLatencyMonitor.ts
@@ -4,9 +4,9 @@
   ConcurrencyState,
   concurrencyLimit,
   freshConcurrency,
-  latencyRise,
-  learnLatency,
-  observeLatency,
+  latencyRatio,
+  recordLatency,
+  adjustConcurrency,
 } from '../policy/concurrencyLimit';
 import type {RampSample, WarmupLimits} from '../policy/ramp';
 
@@ -61,7 +61,7 @@
       this.updateConcurrency(gapMs, outstanding, rule, isWarm);
     if (++this.passes % PASSES_PER_RAMP_SAMPLE !== 0) return undefined;
     const spanMs = gapMs * PASSES_PER_RAMP_SAMPLE;
-    const slowdown = this.state === undefined ? 1 : latencyRise(this.state);
+    const slowdown = this.state === undefined ? 1 : latencyRatio(this.state);
     return {nowMs, startedAtMs: nowMs - spanMs, outstanding, slowdown};
   }
 
@@ -76,7 +76,7 @@
    * measurement.
    */
   slowdown(): number {
-    return this.state === undefined ? 1 : Math.max(1, latencyRise(this.state));
+    return this.state === undefined ? 1 : Math.max(1, latencyRatio(this.state));
   }
 
   private updateConcurrency(
@@ -87,7 +87,7 @@
   ): void {
     const state = this.state ?? freshConcurrency(rule);
     this.state = isWarm
-      ? observeLatency(state, rule, {latencyMs, outstanding})
-      : learnLatency(state, latencyMs);
+      ? adjustConcurrency(state, rule, {latencyMs, outstanding})
+      : recordLatency(state, latencyMs);
   }
 }
--- a/src/cli/controlClient.ts
+++ b/src/cli/controlClient.ts
@@ -5,7 +5,7 @@
   ProcessStatus,
   SubmitAnswer,
   UsageAnswer,
-} from '../core/operatorAnswers';
+} from '../core/operatorMessages';
 import type {Announcement} from '../core/wire';
 
 /** A control instance whose call failed, and why. */
--- a/src/cli/inForce.ts
+++ b/src/cli/followRollout.ts
@@ -4,7 +4,7 @@
  */
 
 import {firstValueFrom, timer} from 'rxjs';
-import type {ProcessStatus} from '../core/operatorAnswers';
+import type {ProcessStatus} from '../core/operatorMessages';
 import type {ClusterStatus, ControlClient} from './controlClient';
 import type {Print} from './runCommand';
 
--- a/src/cli/mergeStatus.ts
+++ b/src/cli/mergeStatus.ts
@@ -1,6 +1,6 @@
 /** Merges the status replies of several control instances. */
 
-import type {ProcessStatus, StatusAnswer} from '../core/operatorAnswers';
+import type {ProcessStatus, StatusAnswer} from '../core/operatorMessages';
 import type {Announcement} from '../core/wire';
 import type {ClusterStatus, FailedInstance} from './controlClient';
 
--- a/src/cli/rpcControlClient.ts
+++ b/src/cli/rpcControlClient.ts
@@ -20,9 +20,9 @@
   StatusAnswer,
   SubmitAnswer,
   UsageAnswer,
-} from '../core/operatorAnswers';
+} from '../core/operatorMessages';
 import {METHODS} from '../rpc/messages';
-import {createPeerAgent, PeerClient} from '../rpc/peerClient';
+import {createPeerHttpsAgent, PeerClient} from '../rpc/peerClient';
 import {RPC_CODES} from '../rpc/peerServer';
 import type {ClientSettings} from '../settings/settings';
 import {CallFaults} from './callFaults';
@@ -91,7 +91,7 @@
     cfg: ClientSettings,
     private readonly maxSubmitRounds = MAX_SUBMIT_ROUNDS
   ) {
-    this.agent = createPeerAgent(cfg.internal.key, CLIENT_IDENTITY);
+    this.agent = createPeerHttpsAgent(cfg.internal.key, CLIENT_IDENTITY);
     this.peers = cfg.control.instances.map(
       address => new PeerClient(address, this.agent)
     );
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -1,11 +1,11 @@
 /** `status`: shows the instances, processes and targets known to control. */
 
-import type {InstanceStatus, ProcessStatus} from '../core/operatorAnswers';
+import type {InstanceStatus, ProcessStatus} from '../core/operatorMessages';
 import type {Announcement} from '../core/wire';
 import {connectControl} from './connectControl';
 import type {ClusterStatus} from './controlClient';
 import {EXIT_CODES} from './exitCodes';
-import {rolloutStateOf} from './inForce';
+import {rolloutStateOf} from './followRollout';
 import {runCommand} from './runCommand';
 import {formatTable} from './table';
 
--- a/src/cli/submitCommand.ts
+++ b/src/cli/submitCommand.ts
@@ -4,14 +4,14 @@
  */
 
 import {unreachable} from '../core/errors';
-import type {SubmitAnswer, SubmitResult} from '../core/operatorAnswers';
+import type {SubmitAnswer, SubmitResult} from '../core/operatorMessages';
 import {formatProblem} from '../rules/ruleProblem';
 import {checkRules} from './checkCommand';
 import {connectControl} from './connectControl';
 import type {ControlClient} from './controlClient';
 import {ControlUnavailableError} from './controlClient';
 import {EXIT_CODES} from './exitCodes';
-import {followRollout} from './inForce';
+import {followRollout} from './followRollout';
 import {runCommand, UsageError} from './runCommand';
 import type {Print} from './runCommand';
 
--- a/src/cluster/clusterNode.ts
+++ b/src/cluster/clusterNode.ts
@@ -15,15 +15,15 @@
 import {unpackText} from '../site/packText';
 import type {MapOutlook} from '../policy/mapOutlook';
 import {reportPeriodMs} from '../policy/reportPeriod';
-import {LogReplica} from './agreedState';
+import {LogReplica} from './logReplica';
 import {Coordinator} from './coordinator';
-import {LeaderService} from './leaderDuties';
+import {LeaderService} from './leaderService';
 import {findFounders} from './findFounders';
 import {PeerDiscovery} from './peerDiscovery';
-import {LocalAnnouncements} from './heardRecords';
-import {ActiveSite} from './heldSite';
-import {LeaderClient} from './leaderLink';
-import {SyncCursor} from './leaderProgress';
+import {LocalAnnouncements} from './localAnnouncements';
+import {ActiveSite} from './activeSite';
+import {LeaderClient} from './leaderClient';
+import {SyncCursor} from './syncCursor';
 import type {
   NodeInfo,
   OperatorCommand,
@@ -189,7 +189,7 @@
   }
 
   /** On the leader: median pass duration of a group; 0 when no stream runs. */
-  paceMs(service: string, group: string): number {
+  passMs(service: string, group: string): number {
     return this.coordinator.passMs(service, group);
   }
 
@@ -224,7 +224,7 @@
   }
 
   /** Sets the source of map outlooks, which is used while this node leads. */
-  useOutlook(
+  setOutlookSource(
     of: (service: string, group: string) => MapOutlook | undefined
   ): void {
     this.outlookOf = of;
@@ -235,7 +235,7 @@
   }
 
   /** Merges an announcement of a target; false when it is outdated. */
-  hear(announcement: TargetAnnouncement): boolean {
+  handleAnnouncement(announcement: TargetAnnouncement): boolean {
     const now = performance.now();
     const isNew = this.table.merge(announcement, now);
     if (isNew) this.heard.add(announcement, now);
@@ -243,7 +243,7 @@
   }
 
   /** Marks a target that announced its departure as gone. */
-  hearLeave(id: string): void {
+  handleLeave(id: string): void {
     const now = performance.now();
     const record = this.table.leave(id, now);
     if (record !== undefined) this.heard.add(record, now);
--- a/src/cluster/coordinator.ts
+++ b/src/cluster/coordinator.ts
@@ -5,22 +5,25 @@
  */
 
 import type {Logger} from '../core/logger';
-import {freePlaces, allocateShares} from '../policy/shareAllocation';
+import {
+  unusedConcurrency,
+  allocateConcurrency,
+} from '../policy/concurrencyAllocation';
 import {GroupLimits} from '../policy/groupLimits';
 import type {MapOutlook} from '../policy/mapOutlook';
 import {NO_GOALS, streamGoals} from '../site/streamGoals';
 import type {Site} from '../site/site';
-import {LimitChangeLogger} from './limitLog';
+import {LimitChangeLogger} from './limitChangeLogger';
 import type {NodeInfo, ServiceGrant, SyncParams, SyncState} from './messages';
 import type {NodeReport} from './nodeReports';
 import {NodeReports, demandsOf, inFlightOf, loadsOf} from './nodeReports';
 import {TargetPermits} from '../policy/targetPermits';
-import type {ServiceConcurrency} from './serviceGroups';
+import type {ServiceConcurrency} from './serviceConcurrency';
 import {
   computeConcurrency,
   medianPassMs,
   tightestLimitReason,
-} from './serviceGroups';
+} from './serviceConcurrency';
 import type {TargetTable} from './targetTable';
 
 /** Interval between two checks for silent targets. */
@@ -208,8 +211,8 @@
         this.limitLogger.logIfChanged(name, concurrency, loads);
         this.updatePermits(name, concurrency);
         const demands = demandsOf(name, reports);
-        const byNode = allocateShares(concurrency.total, demands);
-        const free = freePlaces(concurrency.total, demands);
+        const byNode = allocateConcurrency(concurrency.total, demands);
+        const free = unusedConcurrency(concurrency.total, demands);
         return [name, {byNode, free, concurrency}];
       })
     );
--- a/src/cluster/leaderDuties.ts
+++ b/src/cluster/leaderService.ts
@@ -5,7 +5,7 @@
 
 import type {Logger} from '../core/logger';
 import type {Site} from '../site/site';
-import type {LogReplica, OpenLog} from './agreedState';
+import type {LogReplica, OpenLog} from './logReplica';
 import type {Coordinator} from './coordinator';
 import type {OperatorCommand, SyncParams, SyncReply} from './messages';
 import type {NodeDirectory} from './nodeDirectory';
--- a/src/cluster/limitLog.ts
+++ b/src/cluster/limitChangeLogger.ts
@@ -5,7 +5,7 @@
 import {sum} from '../core/sum';
 import type {ServiceLoad} from './messages';
 import {inFlightOf} from './nodeReports';
-import type {ServiceConcurrency} from './serviceGroups';
+import type {ServiceConcurrency} from './serviceConcurrency';
 
 /** Relative change of a service's concurrency above which it is logged. */
 const MIN_LOGGED_CHANGE_RATIO = 0.1;
--- a/src/cluster/agreedState.ts
+++ b/src/cluster/logReplica.ts
@@ -7,7 +7,7 @@
 import type {Logger} from '../core/logger';
 import {createReplicatedLog} from '../control/log/createReplicatedLog';
 import type {LogTiming} from '../control/log/coreEvents';
-import type {ForgetRule} from '../control/log/logOptions';
+import type {VoterEviction} from '../control/log/logOptions';
 import type {ReplicatedLog} from '../control/log/replicatedLog';
 import {ControlState} from '../control/state/controlState';
 import type {NodeDirectory} from './nodeDirectory';
@@ -41,7 +41,7 @@
   electionMaxMs: 700,
   checkQuorumMs: 700,
   resendMs: 400,
-  firstElectionMs: 250,
+  firstElectionMaxMs: 250,
 };
 /**
  * Delay before a failed log is opened again: a disk that was full for some
@@ -107,16 +107,16 @@
   private async openLog(): Promise<OpenLog> {
     const {directory, founders, isFirstStart, logger} = this.options;
     const state = new ControlState();
-    const forget: ForgetRule = {
-      afterMs: REMOVE_SILENT_VOTER_AFTER_MS,
-      keepVoters: 2 * this.options.lossesBorne + 1,
+    const voterEviction: VoterEviction = {
+      silentMs: REMOVE_SILENT_VOTER_AFTER_MS,
+      minVoters: 2 * this.options.lossesBorne + 1,
     };
     const log = await createReplicatedLog({
       id: directory.self.ip,
       peers: directory,
       founders,
       mayFound: isFirstStart && founders.length > 0,
-      forget,
+      voterEviction,
       dataDir: this.options.dataDir,
       stateMachine: state,
       logger,
--- a/src/cluster/nodeReports.ts
+++ b/src/cluster/nodeReports.ts
@@ -2,7 +2,7 @@
 
 import {sum} from '../core/sum';
 import {reportPeriodMs} from '../policy/reportPeriod';
-import type {ShareDemand} from '../policy/shareAllocation';
+import type {NodeDemand} from '../policy/concurrencyAllocation';
 import type {NodeInfo, ServiceLoad, SyncParams} from './messages';
 
 /** A node whose last report is older gets no share. */
@@ -84,7 +84,7 @@
 export function demandsOf(
   service: string,
   reports: readonly NodeReport[]
-): readonly ShareDemand[] {
+): readonly NodeDemand[] {
   return reports.map(({info, loads, arrivals}) => {
     const load = loads.get(service);
     return {
--- a/src/cluster/serviceGroups.ts
+++ b/src/cluster/serviceConcurrency.ts
@@ -11,7 +11,7 @@
 } from '../policy/groupLimits';
 import type {PermitTarget} from '../policy/targetPermits';
 import type {TargetRecord} from '../site/announcement';
-import {groupNameOf, groupOpenings, isInOpenGroup} from '../site/groupOpenings';
+import {groupNameOf, groupStatuses, isInOpenGroup} from '../site/groupStatus';
 import type {EngineProfile, SiteService} from '../site/site';
 import type {StreamGoals} from '../site/streamGoals';
 import type {ServiceLoad} from './messages';
@@ -60,11 +60,11 @@
     return {total: totalCapacity(targets), targets, groups: []};
   const loads = groupLoads(targets, input, engine);
   const {allNodesReported: isWhole, nowMs} = input;
-  const limitsByGroup = limits.next({
+  const limitsByGroup = limits.update({
     engine,
     goals,
     groups: loads,
-    isWhole,
+    hasAllReports: isWhole,
     nowMs,
   });
   const groups = loads.flatMap(load => {
@@ -175,7 +175,7 @@
   service: string,
   records: readonly TargetRecord[]
 ): readonly TargetRecord[] {
-  const statuses = groupOpenings(records);
+  const statuses = groupStatuses(records);
   return records.filter(
     record =>
       record.service === service &&
--- a/src/control/controlContext.ts
+++ b/src/control/controlContext.ts
@@ -7,7 +7,7 @@
 import type {RecentRules} from './recentRules';
 import type {ControlState} from './state/controlState';
 import type {UsageTable} from './usageTable';
-import type {ZoneStatusCache} from './zonesOut';
+import type {ZoneStatusCache} from './zoneStatusCache';
 
 /** The components of one control instance. */
 export interface ControlContext {
--- a/src/control/controlProcess.ts
+++ b/src/control/controlProcess.ts
@@ -10,7 +10,7 @@
   PeerAddress,
   PeerClient,
   PeerClientFactory,
-  createPeerAgent,
+  createPeerHttpsAgent,
 } from '../rpc/peerClient';
 import {PeerTraffic} from '../rpc/peerTraffic';
 import {PeerServer} from '../rpc/peerServer';
@@ -19,10 +19,10 @@
 import {EntryViews} from './entryViews';
 import {FleetController} from './fleet/fleetController';
 import {createReplicatedLog} from './log/createReplicatedLog';
-import {fixedPeers} from './log/logOptions';
+import {staticPeers} from './log/logOptions';
 import type {ReplicatedLog} from './log/replicatedLog';
 import {FROM_RANK} from './maps/fromRankSchema';
-import {MapManager} from './maps/mapDirector';
+import {MapManager} from './maps/mapManager';
 import {MemberTable} from './memberTable';
 import {checkOrderMethod} from './methods/checkOrderMethod';
 import {claimMethod, lookupMethod, settleMethod} from './methods/claimMethods';
@@ -31,10 +31,10 @@
 import {statusMethod, usageMethod} from './methods/statusMethods';
 import {submitMethod} from './methods/submitMethod';
 import {RecentRules} from './recentRules';
-import {CommittedRules} from './rulesInForce';
+import {CommittedRules} from './committedRules';
 import {ControlState} from './state/controlState';
 import {UsageTable} from './usageTable';
-import {ZoneStatusCache} from './zonesOut';
+import {ZoneStatusCache} from './zoneStatusCache';
 
 const PEER_CALL_TIMEOUT_MS = 1_000;
 const USAGE_LOG_INTERVAL_MS = 5_000;
@@ -69,7 +69,7 @@
     const traffic = new PeerTraffic();
     const server = new PeerServer({...options, traffic});
     const state = new ControlState();
-    const agent = createPeerAgent(options.secret, options.id);
+    const agent = createPeerHttpsAgent(options.secret, options.id);
     const connect: PeerClientFactory = address =>
       new PeerClient(address, agent, traffic);
     const log = await openLog(options, state, connect);
@@ -147,7 +147,7 @@
   const {id, dataDir, logger, metrics, onFatal} = options;
   return createReplicatedLog({
     id,
-    peers: fixedPeers(peers),
+    peers: staticPeers(peers),
     dataDir,
     stateMachine: state,
     logger,
--- a/src/control/entryViews.ts
+++ b/src/control/entryViews.ts
@@ -5,7 +5,7 @@
  * example after a lost reply, receives its subset whole.
  */
 
-import {updateOf} from '../core/announcements';
+import {diffAnnouncements} from '../core/announcements';
 import type {
   Announcement,
   AnnouncementUpdate,
@@ -183,7 +183,7 @@
     const known = held.get(id);
     if (known === current) continue;
     if (known?.agentBootId === current.agentBootId)
-      updated.push(updateOf(known, current));
+      updated.push(diffAnnouncements(known, current));
     else changed.push(current);
   }
   const removed = [...held.keys()].filter(id => !next.has(id));
--- a/src/control/fleet/fleetController.ts
+++ b/src/control/fleet/fleetController.ts
@@ -88,7 +88,9 @@
   private tick(): void {
     const rules = this.dependencies.rules();
     if (rules === undefined) return;
-    const pools = rules.pools().filter(pool => rules.serves(pool).length > 0);
+    const pools = rules
+      .pools()
+      .filter(pool => rules.serveRules(pool).length > 0);
     const wanted =
       pools.length > 0 || this.dependencies.state.open().length > 0;
     this.handle({kind: 'tick', wanted});
@@ -111,14 +113,14 @@
     // Not every target may have announced itself to a new leader yet.
     if (!demand.settled(nowMs)) return {orders: [], blocked: []};
     const view = poolView(targets, rules, pool, this.dependencies.state, {
-      demand: demand.levelsNow(),
+      demand: demand.smoothedByModel(),
       loadMs: this.loadMs,
       changedAtMs: this.leaderState.changedAtMs,
       nowMs,
     });
     const {changes, blocked} = planFleet(view, FLEET_DEFAULTS);
     const keys = new Map(
-      rules.serves(pool).map(rule => [rule.model, ruleKey(rule)])
+      rules.serveRules(pool).map(rule => [rule.model, ruleKey(rule)])
     );
     const orders = changes.map((change): PlannedOrder => ({
       ...change,
--- a/src/control/fleet/fleetViews.ts
+++ b/src/control/fleet/fleetViews.ts
@@ -1,7 +1,7 @@
 /** Builds the input of model planning from announcements, rules and the log. */
 
 import type {Announcement} from '../../core/wire';
-import {workByModel} from '../../policy/fleetDemand';
+import {demandByModel} from '../../policy/fleetDemand';
 import type {FleetView} from '../../policy/fleetPlan';
 import type {FleetTarget} from '../../policy/fleetTally';
 import {printRuleWords} from '../../rules/printRules';
@@ -39,7 +39,7 @@
   pool: string
 ): ReadonlyMap<string, number> {
   const all = targets.filter(one => one.pool === pool);
-  return workByModel(all, rules.warmup(pool).full);
+  return demandByModel(all, rules.warmup(pool).full);
 }
 
 /** The key under which failed orders of a rule are counted. */
@@ -55,7 +55,7 @@
   state: FleetState,
   estimates: FleetEstimates
 ): FleetView {
-  const serves = rules.serves(pool);
+  const serves = rules.serveRules(pool);
   const {full, overMs} = rules.warmup(pool);
   const orderable = orderableTargets(targets, pool);
   const halted = serves.filter(
--- a/src/control/log/coreEvents.ts
+++ b/src/control/log/coreEvents.ts
@@ -7,7 +7,7 @@
 
 import type {Command} from '../state/command';
 import type {LogEntry, LogSnapshot, LogWrite} from './entry';
-import type {ForgetRule} from './logOptions';
+import type {VoterEviction} from './logOptions';
 import type {CoreReply, CoreRequest} from './messages';
 
 /** An input of the core. Each is passed in with the current time. */
@@ -103,7 +103,7 @@
    * deny the pre-vote. When absent, the first timeout lies between
    * `electionMinMs` and `electionMaxMs` like every other.
    */
-  readonly firstElectionMs?: number;
+  readonly firstElectionMaxMs?: number;
   /** An append or snapshot without a reply is sent again after this time. */
   readonly resendMs: number;
 }
@@ -129,7 +129,7 @@
   /** Ids of the instances that found the group; all known ones when absent. */
   readonly founders?: readonly string[];
   /** When to remove a silent voter from the group; never when absent. */
-  readonly voterEviction?: ForgetRule;
+  readonly voterEviction?: VoterEviction;
   /** Returns a number from 0 up to, but not including, 1. */
   readonly random: () => number;
   readonly timing: LogTiming;
--- a/src/control/log/coreState.ts
+++ b/src/control/log/coreState.ts
@@ -232,7 +232,11 @@
   }
 
   private firstElectionDeadline(): number {
-    const {electionMinMs, electionMaxMs, firstElectionMs} = this.options.timing;
+    const {
+      electionMinMs,
+      electionMaxMs,
+      firstElectionMaxMs: firstElectionMs,
+    } = this.options.timing;
     return firstElectionMs === undefined
       ? this.randomDeadline(electionMinMs, electionMaxMs)
       : this.randomDeadline(0, firstElectionMs);
--- a/src/control/log/diskStorage.ts
+++ b/src/control/log/diskStorage.ts
@@ -17,8 +17,8 @@
 } from './entry';
 import {encodeFrame, scanFrames} from './frame';
 import type {LoadResult, LogStorage} from './logStorage';
-import type {SegmentRecord} from './segmentFold';
-import {SegmentReplay} from './segmentFold';
+import type {SegmentRecord} from './segmentReplay';
+import {SegmentReplay} from './segmentReplay';
 
 const STATE_FILE = 'state';
 const SNAPSHOT_FILE = 'snapshot';
--- a/src/control/log/logDriver.ts
+++ b/src/control/log/logDriver.ts
@@ -7,7 +7,7 @@
 import type {LogLimits, LogPeers, ReplicatedLogOptions} from './logOptions';
 import type {CoreEffect, CoreEvent, LogTiming} from './coreEvents';
 import type {DurableState, LogEntry} from './entry';
-import {LinearizableReads} from './linearReads';
+import {LinearizableReads} from './linearizableReads';
 import {LogApplier} from './logApplier';
 import type {LogStorage} from './logStorage';
 import {LogWriter} from './logWriter';
@@ -134,13 +134,14 @@
   }
 
   private createCore(durable: DurableState): RaftCore {
-    const {id, peers, random, timing, limits, founders, forget} = this.options;
+    const {id, peers, random, timing, limits, founders, voterEviction} =
+      this.options;
     return new RaftCore(
       {
         id,
         peerIds: () => peers.ids(),
         founders,
-        voterEviction: forget,
+        voterEviction,
         random,
         timing,
         batchEntries: limits.batchEntries,
--- a/src/control/log/logOptions.ts
+++ b/src/control/log/logOptions.ts
@@ -21,18 +21,18 @@
 }
 
 /** When the leader removes a silent voter from the group. */
-export interface ForgetRule {
+export interface VoterEviction {
   /** Time without a reply after which a voter is considered gone. */
-  readonly afterMs: number;
+  readonly silentMs: number;
   /**
    * Minimum number of voters. No voter is removed at or below it, since a
    * smaller group would tolerate fewer failures than intended.
    */
-  readonly keepVoters: number;
+  readonly minVoters: number;
 }
 
 /** Creates a fixed set of peers. */
-export function fixedPeers(peers: readonly LogPeer[]): LogPeers {
+export function staticPeers(peers: readonly LogPeer[]): LogPeers {
   const byId = new Map(peers.map(peer => [peer.id, peer]));
   const ids = [...byId.keys()];
   return {ids: () => ids, find: id => byId.get(id)};
@@ -55,7 +55,7 @@
    * are replaced by others with new addresses: the old ones would otherwise
    * remain in the quorum forever.
    */
-  readonly forget?: ForgetRule;
+  readonly voterEviction?: VoterEviction;
   /** Directory for durable state, used by this instance only. */
   readonly dataDir: string;
   readonly stateMachine: StateMachine;
--- a/src/control/log/membership.ts
+++ b/src/control/log/membership.ts
@@ -54,11 +54,11 @@
 ): Voter[] | undefined {
   const {voterEviction} = state.options;
   if (voterEviction === undefined) return undefined;
-  if (state.voters.length <= voterEviction.keepVoters) return undefined;
+  if (state.voters.length <= voterEviction.minVoters) return undefined;
   const silent = state.voters.find(voter => {
     if (state.isSelf(voter)) return false;
     const lastReplyAt = leadership.progress.get(voter.id)?.lastReplyAt ?? 0;
-    return state.now - lastReplyAt >= voterEviction.afterMs;
+    return state.now - lastReplyAt >= voterEviction.silentMs;
   });
   if (silent === undefined) return undefined;
   return state.voters.filter(voter => voter !== silent);
--- a/src/control/log/raftCore.ts
+++ b/src/control/log/raftCore.ts
@@ -21,7 +21,7 @@
 import {onSnapshot} from './followerSnapshot';
 import {GroupFounding, onHelloRequest} from './founding';
 import type {CoreReply, CoreRequest} from './messages';
-import {onReadBarrier} from './reads';
+import {onReadBarrier} from './readIndex';
 import {
   appendAsLeader,
   onHelloReply,
--- a/src/control/log/replication.ts
+++ b/src/control/log/replication.ts
@@ -6,7 +6,7 @@
 import type {ReplyOf, RequestOf} from './messages';
 import {maybeReconfigure} from './membership';
 import {advanceCommit} from './commit';
-import {confirmReads} from './reads';
+import {confirmReads} from './readIndex';
 import {becomeFollower, requestHeader} from './election';
 import {entryChars} from './entrySize';
 
--- a/src/control/maps/mapController.ts
+++ b/src/control/maps/mapController.ts
@@ -23,7 +23,7 @@
 import type {FenceCommand, MapDecisionCommand} from '../state/command';
 import type {MapState} from './mapState';
 import {MapSwitch} from './mapSwitch';
-import {StepEstimate} from './stepEstimate';
+import {PassEstimate} from './passEstimate';
 import type {
   MapSwitchConfig,
   SwitchAction,
@@ -58,7 +58,7 @@
   private readonly planner: RebalancePlanner;
   /** Latest report of each rank. */
   private readonly latestReports = new Map<number, ExpertCountsReport>();
-  private readonly step = new StepEstimate();
+  private readonly passEstimate = new PassEstimate();
   private pending?: ExpertMap;
 
   constructor(
@@ -102,7 +102,7 @@
       case 'staged':
         return this.onStaged(message);
       case 'refusal':
-        this.step.record(message.step, performance.now());
+        this.passEstimate.record(message.step, performance.now());
         return this.handle({kind: 'message', message});
       case 'join':
         // A restarted agent has lost its load orders. If the planner waited for
@@ -131,7 +131,7 @@
     if (report.group !== this.cfg.group || isLate) return;
     this.latestReports.set(report.rank, report);
     const nowMs = performance.now();
-    this.step.record(report.step, nowMs);
+    this.passEstimate.record(report.step, nowMs);
     const atMs = nowMs - report.ageMs;
     this.planner.observe({atMs, counts: report.counts});
   }
@@ -157,7 +157,7 @@
     this.handle({
       kind: 'start',
       map: next.switchTo,
-      step: this.step.at(nowMs),
+      step: this.passEstimate.estimateAt(nowMs),
     });
   }
 
@@ -180,7 +180,7 @@
       case 'read':
         return this.read(action.seq);
       case 'answerQuery':
-        return this.answer(action.id, action.rank);
+        return this.answerQuery(action.id, action.rank);
       case 'ended':
         return this.onEnded(action.result);
       default:
@@ -228,7 +228,7 @@
     );
   }
 
-  private answer(id: SwitchId, rank: number): void {
+  private answerQuery(id: SwitchId, rank: number): void {
     this.log.readBarrier().then(
       () => {
         const decision = this.state.outcome(id);
--- a/src/control/maps/mapDirector.ts
+++ b/src/control/maps/mapManager.ts
@@ -13,7 +13,7 @@
 import {AgentClients} from '../agentClients';
 import type {ReplicatedLog} from '../log/replicatedLog';
 import type {MemberTable} from '../memberTable';
-import {CommittedRules} from '../rulesInForce';
+import {CommittedRules} from '../committedRules';
 import type {ControlState} from '../state/controlState';
 import {MapController, RebalancePolicy} from './mapController';
 
@@ -90,8 +90,8 @@
           evenShape(ranks, experts, slots - experts),
           uniformPopularity
         ),
-        marginSteps: MARGIN_PASSES,
-        maxMarginSteps: MAX_MARGIN_PASSES,
+        marginPasses: MARGIN_PASSES,
+        maxMarginPasses: MAX_MARGIN_PASSES,
         promiseTimeoutMs: PROMISE_TIMEOUT_MS,
         resendMs: RESEND_INTERVAL_MS,
         proposeRetryMs: PROPOSE_RETRY_INTERVAL_MS,
--- a/src/control/maps/mapSwitch.ts
+++ b/src/control/maps/mapSwitch.ts
@@ -29,7 +29,7 @@
 export class MapSwitch {
   private phase: Phase = {kind: 'following'};
   private switchCount = 0;
-  private marginSteps: number;
+  private marginPasses: number;
   private readonly waitingJoins = new WaitingJoins();
   private readSeq = 0;
   private minReadSeq = 0;
@@ -39,7 +39,7 @@
   private lastSentAtMs = -Infinity;
 
   constructor(private readonly cfg: MapSwitchConfig) {
-    this.marginSteps = cfg.marginSteps;
+    this.marginPasses = cfg.marginPasses;
   }
 
   /** Whether a new switch may start; waiting joins are answered first. */
@@ -120,7 +120,7 @@
     if (maps.fence !== phase.fence) return this.requestFence(nowMs);
     if (maps.current === undefined) return this.decideFirstMap(phase.fence);
     this.hasMap = true;
-    return this.waitingJoins.answer(seq, this.cfg.group, maps);
+    return this.waitingJoins.answerFrom(seq, this.cfg.group, maps);
   }
 
   /** Ranks do not run without a map, so the first map needs no promises. */
@@ -143,7 +143,7 @@
   ): readonly SwitchAction[] {
     if (this.phase.kind !== 'idle' || !this.idle) return [];
     const {fence} = this.phase;
-    const command = this.command(fence, map, step + this.marginSteps);
+    const command = this.command(fence, map, step + this.marginPasses);
     const deadlineMs = nowMs + this.cfg.promiseTimeoutMs;
     const attempt = {command, map, promised: new Set<number>(), deadlineMs};
     this.phase = {kind: 'preparing', fence, attempt};
@@ -224,7 +224,7 @@
     this.phase = next;
     // Every rank must hold; one that does not would continue with the old map.
     if (promised.size < this.cfg.ranks) return [];
-    this.marginSteps = this.cfg.marginSteps;
+    this.marginPasses = this.cfg.marginPasses;
     return this.decide(next, undefined);
   }
 
@@ -250,8 +250,8 @@
   }
 
   private doubleMargin(): void {
-    const doubled = 2 * this.marginSteps;
-    this.marginSteps = Math.min(doubled, this.cfg.maxMarginSteps);
+    const doubled = 2 * this.marginPasses;
+    this.marginPasses = Math.min(doubled, this.cfg.maxMarginPasses);
   }
 
   private onJoin(req: JoinRequest): readonly SwitchAction[] {
--- a/src/control/maps/mapSwitchEvents.ts
+++ b/src/control/maps/mapSwitchEvents.ts
@@ -75,8 +75,8 @@
   /** First map of a group that has none. */
   readonly initialMap: ExpertMap;
   /** Passes from the highest known one to the switch. */
-  readonly marginSteps: number;
-  readonly maxMarginSteps: number;
+  readonly marginPasses: number;
+  readonly maxMarginPasses: number;
   readonly promiseTimeoutMs: number;
   readonly resendMs: number;
   /**
--- a/src/control/maps/stepEstimate.ts
+++ b/src/control/maps/passEstimate.ts
@@ -7,17 +7,17 @@
 const MIN_RATE_WINDOW_MS = 100;
 
 /** Times are `performance.now()` in milliseconds. */
-export class StepEstimate {
+export class PassEstimate {
   private step = 0;
   private atMs: number | undefined;
-  private stepsPerMs = 0;
+  private passesPerMs = 0;
 
   /** Records a reported step; steps that are not newer are ignored. */
   record(step: number, nowMs: number): void {
     if (step <= this.step && this.atMs !== undefined) return;
     const elapsedMs = this.atMs === undefined ? 0 : nowMs - this.atMs;
     if (elapsedMs >= MIN_RATE_WINDOW_MS)
-      this.stepsPerMs = (step - this.step) / elapsedMs;
+      this.passesPerMs = (step - this.step) / elapsedMs;
     this.step = step;
     this.atMs = nowMs;
   }
@@ -27,8 +27,8 @@
    * passed the chosen switch step when the prepare message arrives, or would
    * have to wait before it.
    */
-  at(nowMs: number): number {
+  estimateAt(nowMs: number): number {
     if (this.atMs === undefined) return this.step;
-    return Math.ceil(this.step + this.stepsPerMs * (nowMs - this.atMs));
+    return Math.ceil(this.step + this.passesPerMs * (nowMs - this.atMs));
   }
 }
--- a/src/control/maps/waitingJoins.ts
+++ b/src/control/maps/waitingJoins.ts
@@ -28,7 +28,7 @@
   }
 
   /** Answers joins from the state of read `seq` and removes those answered. */
-  answer(
+  answerFrom(
     seq: number,
     group: string,
     {fence, current, previous}: GroupMaps
--- a/src/control/memberTable.ts
+++ b/src/control/memberTable.ts
@@ -10,8 +10,8 @@
   PollRequest,
   UnchangedAnnouncement,
 } from '../core/wire';
-import {shouldPublish} from './announcedChange';
-import {GroupSlowdowns} from './groupPace';
+import {shouldPublish} from './announcementThrottle';
+import {GroupSlowdowns} from './groupSlowdowns';
 
 /** A target or process that has not polled for this long is removed. */
 export const MEMBER_TTL_MS = 3_000;
@@ -82,7 +82,7 @@
    * Records a poll. Returns false when the poll says that its announcement is
    * unchanged, but no earlier announcement of that boot is known here.
    */
-  heard(request: PollRequest, nowMs: number): boolean {
+  handlePoll(request: PollRequest, nowMs: number): boolean {
     const {
       processId,
       role,
@@ -103,7 +103,7 @@
     if (request.announcement !== undefined)
       this.announce(request.announcement, nowMs);
     const {unchanged} = request;
-    return unchanged === undefined || this.repeat(unchanged, nowMs);
+    return unchanged === undefined || this.refreshUnchanged(unchanged, nowMs);
   }
 
   /**
@@ -111,7 +111,7 @@
    * number. A target that has been removed must send the whole announcement,
    * since what is known of it may be older than the removal.
    */
-  private repeat(
+  private refreshUnchanged(
     {targetId, agentBootId, seq}: UnchangedAnnouncement,
     nowMs: number
   ): boolean {
--- a/src/control/methods/checkOrderMethod.ts
+++ b/src/control/methods/checkOrderMethod.ts
@@ -4,7 +4,7 @@
 import {orderCheck} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
-import {awaitReadBarrier} from './leaderOnly';
+import {awaitReadBarrier} from './leaderCalls';
 
 /**
  * The `checkOrder` method. The read is linearizable: a stale read could let a
--- a/src/control/methods/claimMethods.ts
+++ b/src/control/methods/claimMethods.ts
@@ -12,7 +12,7 @@
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
 import type {SettleResult} from '../state/command';
-import {proposeCommand, awaitReadBarrier} from './leaderOnly';
+import {proposeCommand, awaitReadBarrier} from './leaderCalls';
 
 /** The `claim` method; repeating it with the same request id is safe. */
 export function claimMethod({
--- a/src/control/methods/pollMethod.ts
+++ b/src/control/methods/pollMethod.ts
@@ -16,7 +16,7 @@
   const {log, members, instanceId, bootId} = context;
   const nowMs = performance.now();
   members.expire(nowMs);
-  const known = members.heard(request, nowMs);
+  const known = members.handlePoll(request, nowMs);
   const status = log.status();
   return {
     instanceId,
@@ -54,7 +54,7 @@
   {heldRevision, takesDiff}: PollRequest
 ): Pick<PollAnswer, 'rules' | 'rulesDiff'> {
   const {revision, text} = state.rules;
-  recentRules.note({revision, text});
+  recentRules.setCurrent({revision, text});
   if (revision <= heldRevision) return {};
   const rulesDiff = takesDiff ? recentRules.diffFrom(heldRevision) : undefined;
   return rulesDiff === undefined ? {rules: {revision, text}} : {rulesDiff};
--- a/src/control/methods/statusMethods.ts
+++ b/src/control/methods/statusMethods.ts
@@ -1,10 +1,10 @@
 /** Queries of operators: the state of the system and the usage by customer. */
 
-import type {StatusAnswer, UsageAnswer} from '../../core/operatorAnswers';
+import type {StatusAnswer, UsageAnswer} from '../../core/operatorMessages';
 import {noParams} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import type {ControlContext} from '../controlContext';
-import {awaitReadBarrier} from './leaderOnly';
+import {awaitReadBarrier} from './leaderCalls';
 
 /** The `status` method: the local view of this instance, leader or not. */
 export function statusMethod(
--- a/src/control/methods/submitMethod.ts
+++ b/src/control/methods/submitMethod.ts
@@ -1,12 +1,12 @@
 /** Accepts rule files from operators. */
 
 import {createHash} from 'node:crypto';
-import type {SubmitAnswer} from '../../core/operatorAnswers';
+import type {SubmitAnswer} from '../../core/operatorMessages';
 import {SubmitRequest, submitRequest} from '../../rpc/messages';
 import type {RpcMethod} from '../../rpc/peerServer';
 import {parseRules} from '../../rules/parseRules';
 import type {ControlContext} from '../controlContext';
-import {proposeCommand} from './leaderOnly';
+import {proposeCommand} from './leaderCalls';
 
 /** The `submit` method; repeating it is safe. */
 export function submitMethod(
--- a/src/control/recentRules.ts
+++ b/src/control/recentRules.ts
@@ -4,7 +4,7 @@
  */
 
 import type {RuleDiff} from '../core/wire';
-import {RevisedText, diffRules} from '../rules/ruleDiff';
+import {RuleFileRevision, diffRules} from '../rules/ruleDiff';
 
 /** A process that is more revisions behind than this gets the whole file. */
 const MAX_KEPT_FILES = 64;
@@ -14,10 +14,10 @@
   private readonly texts = new Map<number, string>();
   /** Cached differences to `current`, by the revision they apply to. */
   private readonly diffs = new Map<number, RuleDiff>();
-  private current: RevisedText = {revision: 0, text: ''};
+  private current: RuleFileRevision = {revision: 0, text: ''};
 
   /** Records the file that is applied now. */
-  note(file: RevisedText): void {
+  setCurrent(file: RuleFileRevision): void {
     if (file.revision === this.current.revision) return;
     this.current = file;
     this.texts.set(file.revision, file.text);
--- a/src/control/state/command.ts
+++ b/src/control/state/command.ts
@@ -1,7 +1,7 @@
 /** Commands in the replicated log and their results. */
 
 import type {ClaimResult} from '../../core/claims';
-import type {SubmitResult} from '../../core/operatorAnswers';
+import type {SubmitResult} from '../../core/operatorMessages';
 import type {CustomerUsage} from '../../core/wire';
 import type {ClaimRequest, SettleRequest} from '../../rpc/messages';
 
--- a/src/control/state/rulesState.ts
+++ b/src/control/state/rulesState.ts
@@ -4,7 +4,7 @@
  * reply gets the result of the first and never causes a second change.
  */
 
-import type {SubmitResult} from '../../core/operatorAnswers';
+import type {SubmitResult} from '../../core/operatorMessages';
 import type {SubmitCommand} from './command';
 
 interface AcceptedFile {
--- a/src/core/announcements.ts
+++ b/src/core/announcements.ts
@@ -27,7 +27,7 @@
 }
 
 /** Returns the fields that changed between two announcements of a target. */
-export function updateOf(
+export function diffAnnouncements(
   from: Announcement,
   to: Announcement
 ): AnnouncementUpdate {
--- a/src/core/progress.ts
+++ b/src/core/callContext.ts
@@ -6,7 +6,7 @@
 import {refuse, Step} from './refusal';
 
 /** Context of one call. Times are `performance.now()` milliseconds. */
-export class Progress {
+export class CallContext {
   private readonly cancellation = new Cancellation();
 
   constructor(
@@ -29,7 +29,7 @@
    * its first token; a stream that lasts longer could otherwise never be
    * resumed at another target.
    */
-  renew(timeoutMs: number): void {
+  renewDeadline(timeoutMs: number): void {
     this.deadlineAt = performance.now() + timeoutMs;
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Throws a `deadline-passed` refusal after the deadline. */
-  assertInTime(step: Step): void {
+  assertBeforeDeadline(step: Step): void {
     if (this.remainingMs() > 0) return;
     throw refuse(
       'deadline-passed',
--- a/src/core/cancellation.ts
+++ b/src/core/cancellation.ts
@@ -44,7 +44,7 @@
 }
 
 /** Returns a signal that is cancelled as soon as either of the two is. */
-export function joined(
+export function eitherSignal(
   first: CancelSignal,
   second: CancelSignal
 ): CancelSignal {
--- a/src/core/nodeMetrics.ts
+++ b/src/core/nodeMetrics.ts
@@ -20,7 +20,7 @@
 /** Values that are read when the metrics are scraped. */
 export interface NodeGauges {
   /** 1 when this node is the leader, otherwise 0. */
-  leads(): number;
+  isLeader(): number;
   siteVersion(): number;
   /** Nodes that have recently reported to the leader. */
   activeNodes(): number;
@@ -38,7 +38,7 @@
   readonly inFlight: number;
   readonly waiting: number;
   /** Pass duration measured from streams, milliseconds; 0 when none runs. */
-  readonly paceMs: number;
+  readonly passMs: number;
 }
 
 /** Timings of one request that a target answered, milliseconds. */
@@ -126,8 +126,8 @@
   }
 
   /** Registers the gauges, which are read at each scrape. */
-  watch(gauges: NodeGauges): void {
-    this.gauge('marlpulley_leads', 'whether this node leads', gauges.leads);
+  registerGauges(gauges: NodeGauges): void {
+    this.gauge('marlpulley_leads', 'whether this node leads', gauges.isLeader);
     this.gauge(
       'marlpulley_site_version',
       'version of the document in force here',
@@ -150,7 +150,7 @@
       'pace_seconds',
       'length of a pass as streams show it',
       gauges,
-      p => p.paceMs / MS_PER_S
+      p => p.passMs / MS_PER_S
     );
   }
 
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -111,7 +111,7 @@
  * Relays the body and trailers of a response. Ends the sink only when the
  * source was complete; otherwise the calling function decides how to end it.
  */
-export function relayAnswer(
+export function relayBody(
   source: http.IncomingMessage,
   sink: http.ServerResponse,
   onChunk?: (chunk: Buffer) => void
@@ -156,7 +156,7 @@
 }
 
 /** Aborts the connection, lest the reader consider the body complete. */
-export function cutOff(sink: Writable): void {
+export function abortConnection(sink: Writable): void {
   sink.destroy();
 }
 
--- a/src/entry/attempts.ts
+++ b/src/entry/attempts.ts
@@ -3,12 +3,16 @@
  */
 
 import type {IncomingMessage} from 'node:http';
-import {CancelSignal, Cancellation, joined} from '../core/cancellation';
+import {CancelSignal, Cancellation, eitherSignal} from '../core/cancellation';
 import {REFUSALS, Refusal, RefusalError, refuse} from '../core/refusal';
 import type {Announcement, DispatchReport} from '../core/wire';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
-import {AttemptOutcome, dispatchAttempt, mayTryElsewhere} from './dispatchOnce';
+import {
+  AttemptOutcome,
+  dispatchAttempt,
+  mayTryElsewhere,
+} from './dispatchAttempt';
 import type {EntryCore} from './entryCore';
 import type {CallerResume} from './chat/chatRequest';
 import {HedgedAttempt, runHedged} from './hedge';
@@ -52,7 +56,7 @@
     private readonly core: EntryCore,
     private readonly call: ClassifiedCall
   ) {
-    this.budget().request();
+    this.budget().recordRequest();
   }
 
   /** Resolves with the first response; rejects with the last RefusalError. */
@@ -86,7 +90,7 @@
   ): Promise<AnsweredAttempt> {
     let lastRefusal: Refusal | undefined;
     for (;;) {
-      this.call.progress.assertInTime('route');
+      this.call.progress.assertBeforeDeadline('route');
       const chosen = this.chooseNext(lastRefusal, resume);
       const outcome = await this.attempt(chosen.target, chosen.cost, resume);
       if (outcome.kind === 'answered') return outcome.answered;
@@ -213,7 +217,7 @@
       limit.hedgeAfterMs === undefined && timeoutMs === undefined;
     return usesCallSignal
       ? progress.signal
-      : joined(progress.signal, cancelled);
+      : eitherSignal(progress.signal, cancelled);
   }
 
   /**
--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -1,7 +1,7 @@
 /** A caller's request on its way through the filters. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import type {Progress} from '../core/progress';
+import type {CallContext} from '../core/callContext';
 import type {OnceRule} from '../rules/rule';
 import type {CallerResume, ChatRequest} from './chat/chatRequest';
 import type {PoolLimit, RuleIndex} from '../rules/ruleIndex';
@@ -29,7 +29,7 @@
 
 /** A request whose pool, limits, deadline and kind are known. */
 export interface ClassifiedCall extends IdentifiedCall {
-  readonly progress: Progress;
+  readonly progress: CallContext;
   readonly pool: string;
   readonly limit: PoolLimit;
   readonly body: CallBody;
--- a/src/entry/dispatchOnce.ts
+++ b/src/entry/dispatchAttempt.ts
@@ -161,7 +161,7 @@
   }
   const report = JSON.parse(header) as DispatchReport;
   core.load.reported(report, performance.now());
-  core.sync.sawRevision(report.revision);
+  core.sync.observeRevision(report.revision);
   if (report.refusal === undefined) return {kind: 'answered', answer, report};
   answer.resume();
   return {kind: 'refused', refusal: report.refusal};
--- a/src/entry/entryProcess.ts
+++ b/src/entry/entryProcess.ts
@@ -5,7 +5,7 @@
 import {newBootId} from '../core/bootId';
 import type {Logger} from '../core/logger';
 import type {Metrics} from '../core/metrics';
-import {PeerClient, createPeerAgent} from '../rpc/peerClient';
+import {PeerClient, createPeerHttpsAgent} from '../rpc/peerClient';
 import {PeerTraffic} from '../rpc/peerTraffic';
 import {clientTls} from '../rpc/peerTls';
 import type {EntrySettings} from '../settings/settings';
@@ -34,7 +34,7 @@
     const {process, internal, control} = settings;
     const usage = new UsageCounter();
     const traffic = new PeerTraffic();
-    const keepAliveAgent = createPeerAgent(internal.key, process.id);
+    const keepAliveAgent = createPeerHttpsAgent(internal.key, process.id);
     const singleUseAgent = new https.Agent({
       ...clientTls(internal.key, process.id),
       keepAlive: false,
@@ -90,7 +90,7 @@
   async drain(): Promise<void> {
     await this.server.drain();
     // Reports the usage of the last calls, so that they are billed.
-    await this.sync.announceNow();
+    await this.sync.announceLeaving();
     await this.stop();
   }
 
--- a/src/entry/filters/classify.ts
+++ b/src/entry/filters/classify.ts
@@ -1,6 +1,6 @@
 /** Determines the pool, limits and kind of a call, and reads its body. */
 
-import {Progress} from '../../core/progress';
+import {CallContext} from '../../core/callContext';
 import {refuse} from '../../core/refusal';
 import {hasBody} from '../../core/upstream';
 import type {RouteCandidate, RuleIndex} from '../../rules/ruleIndex';
@@ -11,7 +11,7 @@
   parseCallerResume,
   parseChatRequest,
 } from '../chat/chatRequest';
-import {readBodyBeforeDeadline} from '../readBodyInTime';
+import {readBodyBeforeDeadline} from '../readBodyBeforeDeadline';
 
 /** Bodies up to this size are buffered, so that the call can be retried. */
 const MAX_REPLAY_BYTES = 64 * 1024;
@@ -48,7 +48,7 @@
     const isChat =
       rules.poolKind(pool) === 'engine' &&
       isChatCompletion(req.method ?? 'GET', path);
-    const progress = new Progress(
+    const progress = new CallContext(
       requestId,
       performance.now() + limit.timeoutMs,
       options.entryId
@@ -90,7 +90,7 @@
   entryId: string
 ): void {
   const model = chat?.model;
-  if (model === undefined || rules.serves(pool).length === 0) return;
+  if (model === undefined || rules.serveRules(pool).length === 0) return;
   if (rules.servesModel(pool, model)) return;
   const detail = `no "serve ${pool}" line names the model of the request`;
   throw refuse('no-route', 'classify', entryId, detail);
@@ -129,7 +129,7 @@
 
 async function readOrStreamBody(
   {req, res}: IdentifiedCall,
-  progress: Progress,
+  progress: CallContext,
   mustBuffer: boolean,
   {entryId, maxBodyBytes}: ClassifyOptions
 ): Promise<CallBody> {
--- a/src/entry/filters/identify.ts
+++ b/src/entry/filters/identify.ts
@@ -28,7 +28,7 @@
         entryId,
         'no customer named'
       );
-    if (!call.rules.isKnown(customer)) {
+    if (!call.rules.isKnownCustomer(customer)) {
       throw refuse(
         'unknown-customer',
         'identify',
--- a/src/entry/onceMachine.ts
+++ b/src/entry/onceMachine.ts
@@ -42,7 +42,7 @@
    * Fences a claim: its agent reports whether it ran, or bars it from running.
    */
   | {
-      readonly kind: 'ask';
+      readonly kind: 'fence';
       readonly target: OnceTarget;
       readonly attempt: number;
     }
@@ -63,7 +63,7 @@
   | {readonly kind: 'refuse'; readonly refusal: Refusal};
 
 /** What an agent reports of a claim, or why it could not be asked. */
-export type AskResult =
+export type FenceResult =
   | FenceClaimAnswer
   /** It could not be reached, or did not respond in time. */
   | {readonly kind: 'no answer'}
@@ -91,7 +91,7 @@
     }
   | {readonly kind: 'answered'; readonly answer: RecordedAnswer}
   | {readonly kind: 'refused'; readonly refusal: Refusal}
-  | {readonly kind: 'asked'; readonly result: AskResult}
+  | {readonly kind: 'fence result'; readonly result: FenceResult}
   /** Also if control did not record it; a resend of the key then settles it. */
   | {readonly kind: 'settled'}
   | {readonly kind: 'waited'}
@@ -154,7 +154,7 @@
         };
       case 'refused':
         return this.refused(event.refusal);
-      case 'asked':
+      case 'fence result':
         return this.fenceResult(event.result);
       case 'settled':
         return this.afterSettle ?? this.route();
@@ -276,10 +276,10 @@
 
   private fence(claim: BoundClaim): OnceAction {
     this.current = claim;
-    return {kind: 'ask', ...claim};
+    return {kind: 'fence', ...claim};
   }
 
-  private fenceResult(result: AskResult): OnceAction {
+  private fenceResult(result: FenceResult): OnceAction {
     const {current, lastRefusal} = this;
     if (current === undefined)
       throw new Error('a fence result arrived without a claim to fence');
--- a/src/entry/readBodyInTime.ts
+++ b/src/entry/readBodyBeforeDeadline.ts
@@ -1,7 +1,7 @@
 /** Reads the body of a caller's request until the deadline of the call. */
 
 import type {IncomingMessage} from 'node:http';
-import type {Progress} from '../core/progress';
+import type {CallContext} from '../core/callContext';
 import {refuse} from '../core/refusal';
 import {readBody} from '../core/upstream';
 
@@ -14,7 +14,7 @@
 export async function readBodyBeforeDeadline(
   req: IncomingMessage,
   maxBytes: number,
-  progress: Progress,
+  progress: CallContext,
   entryId: string
 ): Promise<Buffer | undefined> {
   let timer: NodeJS.Timeout | undefined;
--- a/src/entry/relayChat.ts
+++ b/src/entry/relayChat.ts
@@ -47,7 +47,7 @@
     callerTimeoutMs: CALLER_READ_TIMEOUT_MS,
     signal: progress.signal,
     reopen: async point => {
-      progress.renew(limit.timeoutMs);
+      progress.renewDeadline(limit.timeoutMs);
       current = await withDeadline(call, () => attempts.run(point));
       if (isEventStream(current)) return sourceOf(current);
       sourceOf(current).cancel();
--- a/src/entry/relayPlain.ts
+++ b/src/entry/relayPlain.ts
@@ -11,7 +11,7 @@
   ResponseRelayEnd,
   ResponseSource,
   relayResponse,
-} from './chat/wholeAnswer';
+} from './chat/relayResponse';
 import type {EntryCore} from './entryCore';
 import {countTokens} from './countTokens';
 import {withDeadline} from './serveCall';
--- a/src/entry/route.ts
+++ b/src/entry/route.ts
@@ -1,6 +1,10 @@
 /** Chooses the next target for a call among those that may take new work. */
 
-import {TargetView, chooseTarget, requestCost} from '../policy/balance';
+import {
+  TargetView,
+  chooseSampledTarget,
+  requestCost,
+} from '../policy/sampledTargetChoice';
 import {BLOCK_CHARS, estimateTokens} from '../core/promptPrefix';
 import type {Announcement} from '../core/wire';
 import type {ClassifiedCall} from './call';
@@ -45,7 +49,7 @@
   const views = untried.map(target =>
     viewOf(core, call, target, groupSlowdowns, nowMs)
   );
-  const chosen = chooseTarget(
+  const chosen = chooseSampledTarget(
     {
       promptTokens: call.chat?.promptTokens ?? 0,
       outputTokens: call.chat?.outputTokens ?? 0,
@@ -74,7 +78,7 @@
   {model}: Announcement
 ): boolean {
   const requestedModel = chat?.model;
-  if (requestedModel === undefined || rules.serves(pool).length === 0)
+  if (requestedModel === undefined || rules.serveRules(pool).length === 0)
     return true;
   return model === requestedModel;
 }
--- a/src/entry/serveOnce.ts
+++ b/src/entry/serveOnce.ts
@@ -23,10 +23,10 @@
   METHODS,
   SettleRequest,
 } from '../rpc/messages';
-import {fenceClaimAtAgent} from './askAgent';
+import {fenceClaimAtAgent} from './fenceClaimAtAgent';
 import type {ClassifiedCall} from './call';
 import {callLogger} from './callLogger';
-import {dispatchAttempt} from './dispatchOnce';
+import {dispatchAttempt} from './dispatchAttempt';
 import type {EntryCore} from './entryCore';
 import {
   OnceAction,
@@ -102,7 +102,7 @@
         return this.lookup();
       case 'dispatch':
         return this.dispatch(action.target, action.attempt);
-      case 'ask':
+      case 'fence':
         return this.fence(action.target, action.attempt);
       case 'settle':
         return this.settle(action.attempt, action.settlement);
@@ -244,12 +244,13 @@
     // The claim may come from another entry, for a target outside of this
     // entry's subset.
     const located = await core.sync.locate(targetId);
-    if (located.kind === 'gone') return {kind: 'asked', result: {kind: 'gone'}};
+    if (located.kind === 'gone')
+      return {kind: 'fence result', result: {kind: 'gone'}};
     if (located.kind === 'unknown')
-      return {kind: 'asked', result: {kind: 'no answer'}};
+      return {kind: 'fence result', result: {kind: 'no answer'}};
     const request = {customer: call.customer, key, attempt, agentBootId};
     const result = await fenceClaimAtAgent(core, located.announcement, request);
-    return {kind: 'asked', result: result ?? {kind: 'no answer'}};
+    return {kind: 'fence result', result: result ?? {kind: 'no answer'}};
   }
 
   private async settle(
--- a/src/entry/targetLoad.ts
+++ b/src/entry/targetLoad.ts
@@ -2,8 +2,12 @@
 
 import type {Announcement, DispatchReport} from '../core/wire';
 import type {AnnouncementAges} from '../sync/targetDirectory';
-import type {TargetView} from '../policy/balance';
-import {NO_PROMPTS, promptsLeft, withPrompt} from '../policy/recentPrompts';
+import type {TargetView} from '../policy/sampledTargetChoice';
+import {
+  NO_PROMPTS,
+  pendingPromptTokens,
+  addPrompt,
+} from '../policy/recentPrompts';
 import type {RecentPrompts} from '../policy/recentPrompts';
 
 const FAILURE_WINDOW_MS = 5_000;
@@ -43,7 +47,7 @@
     load.outstanding++;
     load.tokens += cost;
     load.sinceReport++;
-    load.prompts = withPrompt(load.prompts, prompt.tokens, prompt.atMs);
+    load.prompts = addPrompt(load.prompts, prompt.tokens, prompt.atMs);
   }
 
   ended(targetId: string, cost: number): void {
@@ -89,7 +93,7 @@
       ownOutstanding: load.outstanding,
       ownTokens: load.tokens,
       ownSinceReport: load.sinceReport,
-      ownPromptTokens: promptsLeft(load.prompts, nowMs),
+      ownPromptTokens: pendingPromptTokens(load.prompts, nowMs),
       prefixTokens,
       recentFailures: load.failedAtMs.length,
       groupStraggle,
@@ -165,9 +169,9 @@
   const reportAgeMs = nowMs - reportedAtMs;
   const sameBoot = report?.agentBootId === announcement.agentBootId;
   const isStale =
-    reportAgeMs > ages.arrivedMs || reportAgeMs > maxReportAgeMs(report);
+    reportAgeMs > ages.sinceArrivalMs || reportAgeMs > maxReportAgeMs(report);
   if (report === undefined || !sameBoot || isStale) {
-    return {newest: announcement, ageMs: ages.confirmedMs};
+    return {newest: announcement, ageMs: ages.sinceConfirmationMs};
   }
   return {newest: report, ageMs: reportAgeMs};
 }
--- a/src/gateway/groupStreams.ts
+++ b/src/gateway/groupStreams.ts
@@ -3,13 +3,13 @@
  * gateway relays.
  */
 
-import {PassPace} from '../policy/passPace';
-import {StallWatch} from '../policy/stallWatch';
+import {MeasuredPassDuration} from '../policy/measuredPassDuration';
+import {StallDetector} from '../policy/stallDetector';
 
 /** Observations from the streams of one group. */
 export class GroupStreams {
-  readonly passDuration = new PassPace();
-  readonly stallWatch = new StallWatch();
+  readonly passDuration = new MeasuredPassDuration();
+  readonly stallWatch = new StallDetector();
 }
 
 /** Observations for one service, by group name. */
@@ -26,7 +26,7 @@
 
   /** Pass duration of one group; 0 when no stream runs. */
   passDurationMs(group: string, nowMs: number): number {
-    return this.groups.get(group)?.passDuration.paceMs(nowMs) ?? 0;
+    return this.groups.get(group)?.passDuration.durationMs(nowMs) ?? 0;
   }
 
   /** Pass duration of each group that has streams. */
--- a/src/gateway/routeRequest.ts
+++ b/src/gateway/routeRequest.ts
@@ -24,7 +24,7 @@
   if (route === undefined) return refused({kind: 'unknownRoute'});
   const customer =
     caller.key === undefined ? undefined : index.findCustomer(caller.key);
-  const needsKey = index.asksForKeys && !route.isPublic;
+  const needsKey = index.requiresKeys && !route.isPublic;
   if (needsKey && customer === undefined) return refused({kind: 'unknownKey'});
   const service = index.site.services.get(pickService(route, random));
   if (service === undefined) return refused({kind: 'unknownRoute'});
--- a/src/gateway/runAttempts.ts
+++ b/src/gateway/runAttempts.ts
@@ -6,11 +6,11 @@
 import type {GatewayRefusal} from '../ports/callerPort';
 import type {TargetHead} from '../ports/targetPort';
 import type {TargetRecord} from '../site/announcement';
-import {groupNameOf} from '../site/groupOpenings';
+import {groupNameOf} from '../site/groupStatus';
 import {callTarget} from './callTarget';
 import {CallerStream} from './callerStream';
 import type {Gateway} from './gateway';
-import {readResponseBody} from './readAnswer';
+import {readResponseBody} from './readResponseBody';
 import {relayEvents} from './relayEvents';
 import type {RequestState, RoutedRequest} from './requestState';
 import {rounded} from '../core/rounded';
@@ -115,7 +115,7 @@
     if (state.stopped !== undefined) return false;
     const nodes = gateway.view?.activeNodes ?? 1;
     const {retryBudget} = gateway.pool(routed.service.name);
-    return retryBudget.tryRepeat(performance.now(), nodes);
+    return retryBudget.tryRetry(performance.now(), nodes);
   }
 
   private chooseTarget(): TargetRecord | undefined {
@@ -225,7 +225,7 @@
   private countSend(nowMs: number): void {
     this.sendCount++;
     const {retryBudget} = this.gateway.pool(this.routed.service.name);
-    if (this.sendCount === 1) retryBudget.request(nowMs);
+    if (this.sendCount === 1) retryBudget.recordRequest(nowMs);
   }
 
   /** The remaining time; less for an idempotent request that may be retried. */
@@ -338,7 +338,7 @@
     const end = await relayEvents(res, callerHead, stream, {
       onFirstEvent: () => {
         const nowMs = performance.now();
-        stallWatch.opened();
+        stallWatch.streamStarted();
         hasBegun = true;
         const latencyMs = nowMs - startedAtMs;
         pool.noteAttempt(target.id, {kind: 'good', latencyMs}, nowMs);
@@ -347,11 +347,11 @@
       },
       onEvent: nowMs => stallWatch.noteEvent(nowMs),
       onGap: ms => {
-        passDuration.note(ms, performance.now());
+        passDuration.recordPause(ms, performance.now());
         state.marks.longestGapMs = Math.max(state.marks.longestGapMs, ms);
       },
     });
-    if (hasBegun) stallWatch.closed();
+    if (hasBegun) stallWatch.streamEnded();
     cancellation.removeEventListener('abort', onCancel);
     if (state.stopped !== undefined) {
       state.mayHaveRun = true;
--- a/src/gateway/serveRequest.ts
+++ b/src/gateway/serveRequest.ts
@@ -137,7 +137,12 @@
       maxWaitMs: latencyTargetMs * MAX_QUEUE_WAIT_RATIO,
       start: () => settle('admitted'),
       refuse: () => {
-        const {places, inFlight, waitingCount, serviceTimeMs} = queue;
+        const {
+          concurrencyLimit: places,
+          inFlight,
+          waitingCount,
+          serviceTimeMs,
+        } = queue;
         const {maxWaitMs} = request;
         state.refusalFigures = {
           places,
@@ -147,12 +152,15 @@
           maxWaitMs,
         };
         state.refusalCause = {service: service.name, boundBy: pool.boundBy};
-        const retryInMs = retryTiming.refuse(performance.now(), Math.random);
+        const retryInMs = retryTiming.recordRefusal(
+          performance.now(),
+          Math.random
+        );
         settle({kind: 'overloaded', retryInMs});
       },
     };
     state.cancellation.addEventListener('abort', onCancel);
-    retryTiming.noteAsked(performance.now());
+    retryTiming.recordRequest(performance.now());
     queue.enter(request, performance.now());
   });
 }
--- a/src/gateway/servicePool.ts
+++ b/src/gateway/servicePool.ts
@@ -3,18 +3,18 @@
 import type {ServiceGrant, ServiceLoad} from '../cluster/messages';
 import type {PoolGauge} from '../core/nodeMetrics';
 import type {TargetRecord} from '../site/announcement';
-import {groupNameOf, groupOpenings, isInOpenGroup} from '../site/groupOpenings';
+import {groupNameOf, groupStatuses, isInOpenGroup} from '../site/groupStatus';
 import type {SiteService} from '../site/site';
 import {AdmissionQueue} from '../policy/admissionQueue';
-import {coldRateOf} from '../policy/coldRate';
+import {coldRateLimit} from '../policy/coldRate';
 import {RateWindow} from '../policy/rateWindow';
 import {RetryTiming} from '../policy/retryTiming';
-import type {TargetOption} from '../policy/targetChoice';
-import {chooseTarget} from '../policy/targetChoice';
-import type {AttemptSign} from '../policy/targetHealth';
+import type {TargetOption} from '../policy/permitTargetChoice';
+import {chooseTargetByPermits} from '../policy/permitTargetChoice';
+import type {AttemptResult} from '../policy/targetHealth';
 import {TargetHealth} from '../policy/targetHealth';
-import type {WindowBudgetLimits} from '../policy/windowBudget';
-import {WindowBudget} from '../policy/windowBudget';
+import type {SlidingRetryLimits} from '../policy/slidingRetryBudget';
+import {SlidingRetryBudget} from '../policy/slidingRetryBudget';
 import {StreamsByGroup} from './groupStreams';
 
 /** Concurrency limit until the first grant from a leader. */
@@ -24,7 +24,7 @@
 export interface PoolBounds {
   /** Unique among all nodes. */
   readonly nodeId: string;
-  readonly retries: WindowBudgetLimits;
+  readonly retries: SlidingRetryLimits;
   /** Factor in the rate limit of a cold target: configured rate * factor + slack. */
   readonly coldMultiplier: number;
   /** Constant term of a cold target's rate limit, requests per second. */
@@ -46,7 +46,7 @@
 /** Admission, health and load of one service at one gateway. */
 export class ServicePool {
   readonly queue = new AdmissionQueue();
-  readonly retryBudget: WindowBudget;
+  readonly retryBudget: SlidingRetryBudget;
   readonly streams = new StreamsByGroup();
   readonly retryTiming = new RetryTiming();
   private readonly health = new Map<string, TargetHealth>();
@@ -60,7 +60,7 @@
     private readonly service: string,
     private readonly bounds: PoolBounds
   ) {
-    this.retryBudget = new WindowBudget(bounds.retries);
+    this.retryBudget = new SlidingRetryBudget(bounds.retries);
     this.queue.setLimit(INITIAL_CONCURRENCY);
   }
 
@@ -81,7 +81,7 @@
     this.arrivals++;
   }
 
-  noteAttempt(targetId: string, sign: AttemptSign, nowMs: number): void {
+  noteAttempt(targetId: string, sign: AttemptResult, nowMs: number): void {
     this.healthOf(targetId).note(sign, nowMs);
   }
 
@@ -119,10 +119,10 @@
   gauge(): PoolGauge {
     return {
       service: this.service,
-      places: this.queue.places,
+      places: this.queue.concurrencyLimit,
       inFlight: this.queue.inFlight,
       waiting: this.queue.waitingCount,
-      paceMs: Math.max(
+      passMs: Math.max(
         0,
         ...Object.values(this.streams.pacesMs(performance.now()))
       ),
@@ -134,7 +134,7 @@
    * that is in service, in an open group, and not stalled.
    */
   usableTargets(input: ChoiceInput): readonly TargetRecord[] {
-    const openings = groupOpenings(input.records);
+    const openings = groupStatuses(input.records);
     return input.records.filter(
       record =>
         record.service === this.service &&
@@ -165,7 +165,7 @@
         this.isWithinRate(id, slots, input)
     );
     const options = records.map(record => this.optionOf(record, ownZone));
-    const chosen = chooseTarget(options, Math.random);
+    const chosen = chooseTargetByPermits(options, Math.random);
     return records.find(({id}) => id === chosen?.id);
   }
 
@@ -177,9 +177,9 @@
     return {
       id,
       slots,
-      own: this.ownInFlight.get(id) ?? 0,
+      inFlight: this.ownInFlight.get(id) ?? 0,
       permits: this.permits[id] ?? 0,
-      isNear: availabilityZone === ownZone,
+      isInOwnZone: availabilityZone === ownZone,
       failureRate,
       latencyMs,
     };
@@ -199,7 +199,7 @@
     const {coldRequestsPerSecond} = input.service;
     if (coldRequestsPerSecond === 0) return true;
     const {coldMultiplier, coldSlack, nodeId} = this.bounds;
-    const rate = coldRateOf({
+    const rate = coldRateLimit({
       bound: coldRequestsPerSecond * coldMultiplier + coldSlack,
       nodes: input.activeNodes,
       nodeId,
--- a/src/node/controlServer.ts
+++ b/src/node/controlServer.ts
@@ -81,7 +81,7 @@
       case 'announce':
         return this.announce(call.id, text);
       case 'leave':
-        this.parts.node.hearLeave(call.id);
+        this.parts.node.handleLeave(call.id);
         return this.reportToLeader();
       case 'putSite':
         return this.putSite(text);
@@ -102,7 +102,7 @@
     const {node, codec} = this.parts;
     const announcement = codec.decodeAnnouncement(id, text);
     if (announcement === undefined) return INVALID_ANNOUNCEMENT;
-    node.hear(announcement);
+    node.handleAnnouncement(announcement);
     return announcement.state === 'draining' ? this.reportToLeader() : OK;
   }
 
--- a/src/node/nodeProcess.ts
+++ b/src/node/nodeProcess.ts
@@ -16,7 +16,7 @@
 import type {ControlCodec} from '../ports/controlPort';
 import type {RankCodec} from '../ports/rankPort';
 import type {TargetCodec} from '../ports/targetPort';
-import {RankDirector} from '../ranks/rankDirector';
+import {GroupControllerManager} from '../ranks/groupControllerManager';
 import {relayToRanks} from '../ranks/rankRelay';
 import {RELAY_METHOD, RELAY_PARAMS} from '../ranks/relayMessages';
 import type {NodeSettings} from '../settings/settings';
@@ -112,15 +112,15 @@
     // the other nodes.
     const passDurationMs = (service: string, group: string) =>
       gateway.pool(service).passDurationMs(group, performance.now()) ||
-      running.node.paceMs(service, group);
-    const director = new RankDirector(
+      running.node.passMs(service, group);
+    const director = new GroupControllerManager(
       node,
       codecs.ranks,
       logger,
       metrics,
       passDurationMs
     );
-    node.useOutlook((service, group) =>
+    node.setOutlookSource((service, group) =>
       director.outlook(service, group, performance.now())
     );
     running.subscription.add(
@@ -160,8 +160,8 @@
 
   private registerGauges(metrics: NodeMetrics, gateway: Gateway): void {
     const {node} = this;
-    metrics.watch({
-      leads: () => Number(node.leads),
+    metrics.registerGauges({
+      isLeader: () => Number(node.leads),
       siteVersion: () => node.view.index?.site.version ?? 0,
       activeNodes: () => node.view.activeNodes,
       droppedLines: this.parts.droppedLines,
--- a/src/policy/admissionQueue.ts
+++ b/src/policy/admissionQueue.ts
@@ -52,7 +52,7 @@
   }
 
   /** Concurrency limit of this node. */
-  get places(): number {
+  get concurrencyLimit(): number {
     return this.limit;
   }
 
--- a/src/policy/coldRate.ts
+++ b/src/policy/coldRate.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns the requests per second that this node may send, a whole number. */
-export function coldRateOf(input: ColdRateInput): number {
+export function coldRateLimit(input: ColdRateInput): number {
   const {bound, permits, capacity} = input;
   const rateForPermits = bound * SAFETY_RATIO * PERMIT_RATIO;
   const heldRatio = Math.min(permits, capacity) / Math.max(1, capacity);
--- a/src/policy/shareAllocation.ts
+++ b/src/policy/concurrencyAllocation.ts
@@ -7,7 +7,7 @@
  */
 
 /** Demand of one node. */
-export interface ShareDemand {
+export interface NodeDemand {
   readonly node: string;
   /** Requests in flight at targets or queued at the node. */
   readonly wanted: number;
@@ -21,9 +21,9 @@
 const MIN_SLOTS_PER_NODE = 1;
 
 /** Slots by node; their sum is `concurrency`, or one per node if that is more. */
-export function allocateShares(
+export function allocateConcurrency(
   concurrency: number,
-  demands: readonly ShareDemand[]
+  demands: readonly NodeDemand[]
 ): ReadonlyMap<string, number> {
   const wanted = totalWanted(demands);
   const granted =
@@ -34,21 +34,21 @@
 }
 
 /** Slots beyond the demand of all nodes, rounded down. */
-export function freePlaces(
+export function unusedConcurrency(
   concurrency: number,
-  demands: readonly ShareDemand[]
+  demands: readonly NodeDemand[]
 ): number {
   return Math.max(0, Math.floor(concurrency - totalWanted(demands)));
 }
 
-function totalWanted(demands: readonly ShareDemand[]): number {
+function totalWanted(demands: readonly NodeDemand[]): number {
   return demands.reduce((sum, {wanted}) => sum + wanted, 0);
 }
 
 /** Max-min fair split: what some nodes do not want goes to the others. */
 function splitMaxMin(
   concurrency: number,
-  demands: readonly ShareDemand[]
+  demands: readonly NodeDemand[]
 ): readonly number[] {
   const order = demands
     .map(({wanted}, index) => ({wanted, index}))
@@ -66,7 +66,7 @@
 /** Meets all demand and splits the surplus by arrivals, for the next requests. */
 function splitWithSurplus(
   surplus: number,
-  demands: readonly ShareDemand[]
+  demands: readonly NodeDemand[]
 ): readonly number[] {
   const weights = demands.map(({arrivals}) => arrivals + IDLE_WEIGHT);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
@@ -78,7 +78,7 @@
 /** Rounds to whole slots; the largest fractions are rounded up. */
 function roundGrants(
   concurrency: number,
-  demands: readonly ShareDemand[],
+  demands: readonly NodeDemand[],
   granted: readonly number[]
 ): ReadonlyMap<string, number> {
   const rounded = granted.map(part =>
--- a/src/policy/concurrencyLimit.ts
+++ b/src/policy/concurrencyLimit.ts
@@ -18,9 +18,9 @@
   /** Moving average of the latency per unit of cost, in milliseconds. */
   readonly recentMs: number | undefined;
   /** Responses since the limit was last adjusted. */
-  readonly samples: number;
+  readonly samplesSinceChange: number;
   /** Responses in total. */
-  readonly seen: number;
+  readonly totalSamples: number;
 }
 
 /** Latency of one response. */
@@ -66,8 +66,8 @@
     limit: bounds.full,
     baselineMs: undefined,
     recentMs: undefined,
-    samples: 0,
-    seen: 0,
+    samplesSinceChange: 0,
+    totalSamples: 0,
   };
 }
 
@@ -80,27 +80,27 @@
 }
 
 /** Ratio of the recent latency to the baseline; 1 when unknown. */
-export function latencyRise(state: ConcurrencyState): number {
+export function latencyRatio(state: ConcurrencyState): number {
   if (state.recentMs === undefined || state.baselineMs === undefined) return 1;
   return state.recentMs / state.baselineMs;
 }
 
 /** Records a response; adjusts the limit once every `limit` responses. */
-export function observeLatency(
+export function adjustConcurrency(
   state: ConcurrencyState,
   bounds: ConcurrencyBounds,
   sample: LatencySample
 ): ConcurrencyState {
   const next = updateAverages(state, sample.latencyMs, BASELINE_RISE_WEIGHT);
   const limit = concurrencyLimit(state, bounds);
-  if (next.samples < limit) return {...next, limit: state.limit};
-  if (latencyRise(next) > MAX_LATENCY_RATIO) {
+  if (next.samplesSinceChange < limit) return {...next, limit: state.limit};
+  if (latencyRatio(next) > MAX_LATENCY_RATIO) {
     const lower = Math.max(bounds.start, limit * DECREASE_FACTOR);
-    return {...next, limit: lower, samples: 0};
+    return {...next, limit: lower, samplesSinceChange: 0};
   }
   const isUtilized = sample.outstanding >= limit * MIN_UTILIZATION;
   const higher = isUtilized ? Math.min(bounds.full, limit + 1) : limit;
-  return {...next, limit: higher, samples: 0};
+  return {...next, limit: higher, samplesSinceChange: 0};
 }
 
 /**
@@ -108,7 +108,7 @@
  * There the ramp alone reacts to high latency; if this limit shrank as well, it
  * would hold the target back long after the ramp has ended.
  */
-export function learnLatency(
+export function recordLatency(
   state: ConcurrencyState,
   latencyMs: number
 ): ConcurrencyState {
@@ -120,7 +120,7 @@
   latencyMs: number,
   riseWeight: number
 ): ConcurrencyState {
-  const seen = state.seen + 1;
+  const seen = state.totalSamples + 1;
   const weight = Math.max(RECENT_WEIGHT, 1 / seen);
   const recentMs = geometricMean(state.recentMs, latencyMs, weight);
   const learning = seen < LEARNING_SAMPLES;
@@ -131,8 +131,14 @@
     recentMs,
     learning ? 1 : baselineWeight
   );
-  const samples = state.samples + 1;
-  return {limit: state.limit, recentMs, baselineMs, samples, seen};
+  const samples = state.samplesSinceChange + 1;
+  return {
+    limit: state.limit,
+    recentMs,
+    baselineMs,
+    samplesSinceChange: samples,
+    totalSamples: seen,
+  };
 }
 
 /** Moving geometric mean: one slow response in a hundred hardly changes it. */
--- a/src/policy/copyLimit.ts
+++ b/src/policy/copyLimit.ts
@@ -30,18 +30,19 @@
   /** Max over mean load of ranks, averaged over the expert sets. */
   readonly skew: number;
   /** The same, computed as if no rank were slow. */
-  readonly skewIfInOrder: number;
+  readonly skewWithoutSlowRanks: number;
   /** Duration of one copy, milliseconds. */
   readonly copyMs: number;
 }
 
 /** Maximum number of copies per rank for one map switch. */
-export function copiesARank({
+export function maxCopiesPerRank({
   skew,
-  skewIfInOrder,
+  skewWithoutSlowRanks,
   copyMs,
 }: CopyLimitInput): number {
-  if (skew - skewIfInOrder >= MIN_SLOW_RANK_SKEW) return MAX_COPIES_PER_RANK;
+  if (skew - skewWithoutSlowRanks >= MIN_SLOW_RANK_SKEW)
+    return MAX_COPIES_PER_RANK;
   const limitBySkew =
     skew >= HIGH_SKEW ? COPIES_AT_HIGH_SKEW : COPIES_AT_LOW_SKEW;
   const limitByTime = Math.floor(COPY_BUDGET_MS / Math.max(1, copyMs));
--- a/src/policy/expertSpread.ts
+++ b/src/policy/expertSpread.ts
@@ -23,7 +23,7 @@
   /** Expert slots of one rank for this set. */
   readonly places: number;
   /** New experts that each rank may receive in one map switch. */
-  readonly newOnRank: readonly number[];
+  readonly maxNewByRank: readonly number[];
   /** Minimum decrease of the skew that pays for one copy. */
   readonly minGainPerCopy: number;
   /** Maximum number of copies, summed over all ranks. */
@@ -163,7 +163,7 @@
   canAdd(rank: number, expert: number, limits: SpreadLimits): boolean {
     if (this.ranksHolding(expert).includes(rank)) return false;
     if (this.initialExperts[rank]?.has(expert)) return true;
-    return (this.addedByRank[rank] ?? 0) < (limits.newOnRank[rank] ?? 0);
+    return (this.addedByRank[rank] ?? 0) < (limits.maxNewByRank[rank] ?? 0);
   }
 
   /** Cost after a move, without applying it. */
--- a/src/policy/fleetDemand.ts
+++ b/src/policy/fleetDemand.ts
@@ -26,7 +26,7 @@
  * and a queue of the same size. Demand then at most doubles from one change to
  * the next, instead of claiming the whole pool.
  */
-export function workByModel(
+export function demandByModel(
   targets: readonly TargetLoad[],
   concurrency: number
 ): ReadonlyMap<string, number> {
@@ -68,7 +68,7 @@
     );
   }
 
-  levelsNow(): ReadonlyMap<string, number> {
+  smoothedByModel(): ReadonlyMap<string, number> {
     return this.levels;
   }
 }
--- a/src/policy/fleetPlan.ts
+++ b/src/policy/fleetPlan.ts
@@ -6,7 +6,7 @@
  */
 
 import {FleetTally} from './fleetTally';
-import type {FleetChange, FleetTarget, ServedModel} from './fleetTally';
+import type {ModelAssignment, FleetTarget, ServedModel} from './fleetTally';
 
 /** Thresholds and limits of the plan; times in milliseconds. */
 export interface FleetConfig {
@@ -45,7 +45,7 @@
   readonly models: readonly ServedModel[];
   readonly targets: readonly FleetTarget[];
   /** Orders that may still be in progress. */
-  readonly open: readonly FleetChange[];
+  readonly open: readonly ModelAssignment[];
   /** Concurrent requests by model, smoothed. */
   readonly demand: ReadonlyMap<string, number>;
   /** Models whose version failed to load too often. */
@@ -67,7 +67,7 @@
 
 /** Orders to send now, and models that have to wait. */
 export interface FleetPlan {
-  readonly changes: readonly FleetChange[];
+  readonly changes: readonly ModelAssignment[];
   readonly blocked: readonly BlockedModel[];
 }
 
@@ -85,7 +85,7 @@
 
 class Planner {
   private readonly tally: FleetTally;
-  private readonly changes: FleetChange[] = [];
+  private readonly changes: ModelAssignment[] = [];
   private readonly blocked: BlockedModel[] = [];
   private readonly assigned = new Set<string>();
   private budget: number;
--- a/src/policy/fleetTally.ts
+++ b/src/policy/fleetTally.ts
@@ -28,7 +28,7 @@
 }
 
 /** An order for a target to load this version of a model. */
-export interface FleetChange {
+export interface ModelAssignment {
   readonly targetId: string;
   readonly model: string;
   readonly version: string;
@@ -64,7 +64,7 @@
   constructor(
     models: readonly ServedModel[],
     targets: readonly FleetTarget[],
-    openOrders: readonly FleetChange[],
+    openOrders: readonly ModelAssignment[],
     demand: ReadonlyMap<string, number>
   ) {
     this.versions = new Map(models.map(({model, version}) => [model, version]));
--- a/src/policy/groupLimits.ts
+++ b/src/policy/groupLimits.ts
@@ -9,7 +9,7 @@
 import type {PassProfile} from '../core/passProfile';
 import type {MapOutlook} from './mapOutlook';
 import {PassCorrection} from './passCorrection';
-import {fixedPassMs, requestPassMs} from './passLength';
+import {fixedPassMs, passMsPerRequest} from './passDuration';
 
 /** Latency that callers of streams accept, milliseconds; 0 for no goal. */
 export interface LatencyGoals {
@@ -39,7 +39,7 @@
   readonly goals: LatencyGoals;
   readonly groups: readonly GroupLoad[];
   /** Whether `groups` includes the loads of all nodes. */
-  readonly isWhole: boolean;
+  readonly hasAllReports: boolean;
   readonly nowMs: number;
 }
 
@@ -92,7 +92,7 @@
   private readonly corrections = new Map<string, PassCorrection>();
 
   /** Records measured passes and returns the limits; call once per report. */
-  next(input: GroupLimitsInput): ReadonlyMap<string, GroupLimit> {
+  update(input: GroupLimitsInput): ReadonlyMap<string, GroupLimit> {
     const {groups} = input;
     this.retain(groups);
     const bounds = groups.map(group => ({
@@ -112,9 +112,9 @@
 
   /** Maximum requests with which passes last no longer than callers accept. */
   private upperBound(group: GroupLoad, input: GroupLimitsInput): GroupLimit {
-    const {engine, goals, isWhole, nowMs} = input;
+    const {engine, goals, hasAllReports: isWhole, nowMs} = input;
     const {ranks, running, paceMs, outlook} = group;
-    const costAt = (skew: number) => requestPassMs({engine, ranks, skew});
+    const costAt = (skew: number) => passMsPerRequest({engine, ranks, skew});
     const fixedMs = fixedPassMs(engine);
     const correction = this.correctionOf(group.name);
     const varyingMs = paceMs - fixedMs;
--- a/src/policy/passPace.ts
+++ b/src/policy/measuredPassDuration.ts
@@ -22,17 +22,17 @@
 }
 
 /** Recent pauses between events of the streams of one group at one node. */
-export class PassPace {
+export class MeasuredPassDuration {
   private pauses: Pause[] = [];
 
   /** Records a pause that has just ended. */
-  note(ms: number, nowMs: number): void {
+  recordPause(ms: number, nowMs: number): void {
     this.pauses.push({atMs: nowMs, ms});
     this.trim(nowMs);
   }
 
   /** Median of the recent pauses, milliseconds; 0 when no stream runs. */
-  paceMs(nowMs: number): number {
+  durationMs(nowMs: number): number {
     this.trim(nowMs);
     const sorted = this.pauses.map(({ms}) => ms).sort((a, b) => a - b);
     return sorted[Math.floor(sorted.length / 2)] ?? 0;
--- a/src/policy/passLength.ts
+++ b/src/policy/passDuration.ts
@@ -24,7 +24,7 @@
 }
 
 /** Time that each running request adds to a pass, milliseconds. */
-export function requestPassMs({engine, ranks, skew}: GroupShape): number {
+export function passMsPerRequest({engine, ranks, skew}: GroupShape): number {
   const decodeMs = engine.stepMsPerRequest * engine.stepsPerPass;
   const passesPerRequest = Math.max(
     1,
--- a/src/policy/targetChoice.ts
+++ b/src/policy/permitTargetChoice.ts
@@ -9,11 +9,11 @@
   readonly id: string;
   readonly slots: number;
   /** Requests of this node in flight at the target. */
-  readonly own: number;
+  readonly inFlight: number;
   /** Requests that this node may have in flight at the target. */
   readonly permits: number;
   /** Whether the target is in the zone of this node. */
-  readonly isNear: boolean;
+  readonly isInOwnZone: boolean;
   /** Ratio of recent requests that failed, 0 to 1. */
   readonly failureRate: number;
   /** Moving average of the response time; 0 when unknown. */
@@ -34,7 +34,7 @@
 const NO_PERMIT_PENALTY = 4;
 
 /** Returns the cheapest option; `random` (0 up to below 1) breaks ties. */
-export function chooseTarget(
+export function chooseTargetByPermits(
   options: readonly TargetOption[],
   random: () => number
 ): TargetOption | undefined {
@@ -54,7 +54,14 @@
 const TIE_BREAK_RANGE = 0.005;
 
 function costOf(option: TargetOption, medianMs: number): number {
-  const {slots, own, permits, isNear, failureRate, latencyMs} = option;
+  const {
+    slots,
+    inFlight: own,
+    permits,
+    isInOwnZone: isNear,
+    failureRate,
+    latencyMs,
+  } = option;
   const utilization = (own + 1) / Math.max(1, slots);
   let cost = utilization;
   if (own >= permits) cost += NO_PERMIT_PENALTY * utilization;
--- a/src/policy/placement.ts
+++ b/src/policy/placement.ts
@@ -72,7 +72,7 @@
 }
 
 /** Number of experts that each rank must load because it did not hold them. */
-export function loadsNeeded(
+export function weightLoadsByRank(
   from: ExpertMap | undefined,
   to: ExpertMap
 ): readonly number[] {
--- a/src/policy/popularity.ts
+++ b/src/policy/popularity.ts
@@ -44,7 +44,7 @@
 /** Forecast that the planner uses; the bench also implements a perfect one. */
 export type PopularityForecast = Pick<
   PopularityEstimate,
-  'known' | 'add' | 'predict'
+  'hasSamples' | 'add' | 'predict'
 >;
 
 /** Estimates the share of each expert in all tokens of a group. */
@@ -66,7 +66,7 @@
   }
 
   /** Whether any valid sample was added. */
-  get known(): boolean {
+  get hasSamples(): boolean {
     return this.sums.weight > 0;
   }
 
@@ -92,7 +92,7 @@
 
   /** Expected share of each expert at a given time; shares add up to 1. */
   predict(atMs: number): readonly number[] {
-    if (!this.known)
+    if (!this.hasSamples)
       return new Array<number>(this.experts).fill(1 / this.experts);
     const aheadMs = Math.min(atMs - this.newestMs, this.cfg.maxExtrapolationMs);
     const time = this.newestMs + aheadMs - (this.originMs ?? 0);
--- a/src/policy/ramp.ts
+++ b/src/policy/ramp.ts
@@ -26,7 +26,7 @@
   /** When the ramp last started. */
   readonly sinceMs: number;
   /** Whether the ramp has reached `full` since it last started. */
-  readonly complete: boolean;
+  readonly hasReachedFull: boolean;
   /** Factor by which the ramp takes longer than the rule says. */
   readonly durationFactor: number;
 }
@@ -63,7 +63,7 @@
     level: undefined,
     creditedAtMs: nowMs,
     sinceMs: nowMs,
-    complete: false,
+    hasReachedFull: false,
     durationFactor: 1,
   };
 }
@@ -78,12 +78,12 @@
 }
 
 /** Whether the limit has reached `full`. */
-export function rampComplete(state: RampState, rule: WarmupLimits): boolean {
+export function isRampComplete(state: RampState, rule: WarmupLimits): boolean {
   return currentLevel(state, rule) >= rule.full;
 }
 
 /** Grows, holds or shrinks the limit after a successful response. */
-export function rampServed(
+export function rampAfterResponse(
   state: RampState,
   rule: WarmupLimits,
   sample: RampSample
@@ -111,8 +111,8 @@
   const progressGain =
     (utilization * creditMs * rate) / Math.max(1, rule.overMs);
   const grown = grow(level, rule, progressGain);
-  const complete = state.complete || grown >= rule.full;
-  return {...state, level: grown, creditedAtMs, complete};
+  const complete = state.hasReachedFull || grown >= rule.full;
+  return {...state, level: grown, creditedAtMs, hasReachedFull: complete};
 }
 
 /**
@@ -136,19 +136,19 @@
  * A target that became cold during its ramp may have been overloaded, and with the
  * same ramp it would fail again and again, so its next ramp is slower.
  */
-export function rampCold(state: RampState, nowMs: number): RampState {
+export function restartRamp(state: RampState, nowMs: number): RampState {
   return {
     level: undefined,
     creditedAtMs: Math.max(nowMs, state.creditedAtMs),
     sinceMs: nowMs,
-    complete: false,
+    hasReachedFull: false,
     durationFactor: nextDurationFactor(state),
   };
 }
 
 function nextDurationFactor({
   level,
-  complete,
+  hasReachedFull: complete,
   durationFactor,
 }: RampState): number {
   if (complete) return 1;
--- a/src/policy/rebalanceDecision.ts
+++ b/src/policy/rebalanceDecision.ts
@@ -7,8 +7,8 @@
 import type {ExpertMap} from '../core/mapMessages';
 import type {Popularity} from './placement';
 import {mapSkew} from './placement';
-import type {Move} from './rebalance';
-import {planRebalance} from './rebalance';
+import type {Move} from './rebalanceSearch';
+import {planRebalance} from './rebalanceSearch';
 import type {Splitting} from './placementSplit';
 import {withBestShares} from './placementSplit';
 
--- a/src/policy/rebalancePlanner.ts
+++ b/src/policy/rebalancePlanner.ts
@@ -9,7 +9,7 @@
 import {mapSkew} from './placement';
 import type {PopularityForecast, PopularitySample} from './popularity';
 import {PopularityEstimate} from './popularity';
-import {withChanges} from './rebalance';
+import {withChanges} from './rebalanceSearch';
 import type {RebalanceConfig} from './rebalanceDecision';
 import {decideLoads, decideSplit, loadTimeMs} from './rebalanceDecision';
 
@@ -86,7 +86,7 @@
     nowMs: number,
     minGain = 0
   ) {
-    if (!this.estimate.known) return {};
+    if (!this.estimate.hasSamples) return {};
     this.staging = this.staging.filter(item => nowMs < item.deadlineMs);
     const switchTo = pending ? undefined : this.switchTo(current, nowMs);
     const base = switchTo ?? pending ?? current;
--- a/src/policy/recentPrompts.ts
+++ b/src/policy/recentPrompts.ts
@@ -17,17 +17,20 @@
 const HALF_LIFE_MS = 150;
 
 /** Estimated tokens that still wait for prefill. */
-export function promptsLeft(recent: RecentPrompts, nowMs: number): number {
+export function pendingPromptTokens(
+  recent: RecentPrompts,
+  nowMs: number
+): number {
   if (recent.tokens === 0) return 0;
   const ageMs = Math.max(0, nowMs - recent.atMs);
   return recent.tokens * Math.pow(0.5, ageMs / HALF_LIFE_MS);
 }
 
 /** Returns the state after one more prompt, sent now. */
-export function withPrompt(
+export function addPrompt(
   recent: RecentPrompts,
   tokens: number,
   nowMs: number
 ): RecentPrompts {
-  return {tokens: promptsLeft(recent, nowMs) + tokens, atMs: nowMs};
+  return {tokens: pendingPromptTokens(recent, nowMs) + tokens, atMs: nowMs};
 }
--- a/src/policy/relayPlan.ts
+++ b/src/policy/relayPlan.ts
@@ -13,7 +13,7 @@
 const RANKS_PER_RELAY = 6;
 
 /** Address of a node or rank, and its zone. */
-export interface Located {
+export interface ZonedAddress {
   /** IP address of a node, or HOST:PORT of a rank. */
   readonly address: string;
   readonly availabilityZone: string;
@@ -30,9 +30,9 @@
  * Assigns the ranks of a fan-out to relays. A rank is called by a relay of its
  * zone if there is one. `relays` are in order of preference.
  */
-export function planRelays<T extends Located>(
+export function planRelays<T extends ZonedAddress>(
   ranks: readonly T[],
-  relays: readonly Located[]
+  relays: readonly ZonedAddress[]
 ): readonly RelayBatch<T>[] {
   if (ranks.length <= MAX_DIRECT_RANKS || relays.length === 0) return [{ranks}];
   const batches = new Map<string, T[]>();
@@ -42,7 +42,7 @@
     if (zoneRelays.length === 0) unmatched.push(...ofZone);
     else distribute(ofZone, zoneRelays, batches);
   }
-  const sizeOf = ({address}: Located) => batches.get(address)?.length ?? 0;
+  const sizeOf = ({address}: ZonedAddress) => batches.get(address)?.length ?? 0;
   const leastLoadedFirst = [...relays].sort((a, b) => sizeOf(a) - sizeOf(b));
   if (unmatched.length > 0) distribute(unmatched, leastLoadedFirst, batches);
   return [...batches].map(([relay, ofRelay]) => ({relay, ranks: ofRelay}));
@@ -51,7 +51,7 @@
 /** Distributes ranks evenly over as few relays as `RANKS_PER_RELAY` permits. */
 function distribute<T>(
   ranks: readonly T[],
-  relays: readonly Located[],
+  relays: readonly ZonedAddress[],
   batches: Map<string, T[]>
 ): void {
   const count = Math.min(
@@ -67,7 +67,7 @@
   });
 }
 
-function groupByZone<T extends Located>(
+function groupByZone<T extends ZonedAddress>(
   ranks: readonly T[]
 ): ReadonlyMap<string, readonly T[]> {
   const zones = new Map<string, T[]>();
--- a/src/policy/retryBudget.ts
+++ b/src/policy/retryBudget.ts
@@ -47,7 +47,7 @@
   }
 
   /** Counts the first attempt of a request. */
-  request(): void {
+  recordRequest(): void {
     const gain = this.options.percent / 100;
     this.earned = Math.min(this.maxEarned(), this.earned + gain);
     this.replacements = Math.min(
--- a/src/policy/retryTiming.ts
+++ b/src/policy/retryTiming.ts
@@ -27,13 +27,13 @@
   private atMs = 0;
 
   /** Counts a request that was received. */
-  noteAsked(nowMs: number): void {
+  recordRequest(nowMs: number): void {
     this.decay(nowMs);
     this.requests++;
   }
 
   /** Counts a refusal and returns its Retry-After, milliseconds. */
-  refuse(nowMs: number, random: () => number): number {
+  recordRefusal(nowMs: number, random: () => number): number {
     this.decay(nowMs);
     this.refused++;
     const isLasting = this.refused > LASTING_REFUSAL_RATIO * this.requests + 1;
--- a/src/policy/balance.ts
+++ b/src/policy/sampledTargetChoice.ts
@@ -93,7 +93,7 @@
 }
 
 /** Chooses the target for a request; undefined when every limit is 0. */
-export function chooseTarget(
+export function chooseSampledTarget(
   req: RoutedRequest,
   targets: readonly TargetView[],
   random: () => number
--- a/src/policy/shiftHistory.ts
+++ b/src/policy/shiftHistory.ts
@@ -40,13 +40,13 @@
   }
 
   /** Records the skew of the active map right after a shift. */
-  note(skew: number, nowMs: number): void {
+  recordShift(skew: number, nowMs: number): void {
     this.shifts.push({atMs: nowMs, skew});
     this.dropExpired(nowMs);
   }
 
   /** Highest skew of a recent shift; 0 if there was none. */
-  worst(nowMs: number): number {
+  worstSkew(nowMs: number): number {
     this.dropExpired(nowMs);
     return Math.max(0, ...this.shifts.map(({skew}) => skew));
   }
@@ -56,8 +56,8 @@
    * the shortest recent interval, minus the admission lead, has passed since the
    * last shift.
    */
-  due(nowMs: number): number {
-    const worst = this.worst(nowMs);
+  dueSkew(nowMs: number): number {
+    const worst = this.worstSkew(nowMs);
     const times = this.shifts
       .filter(({skew}) => skew >= worst * MAIN_SHIFT_RATIO)
       .map(({atMs}) => atMs);
--- a/src/policy/windowBudget.ts
+++ b/src/policy/slidingRetryBudget.ts
@@ -9,7 +9,7 @@
  */
 
 /** Limits for all nodes together. */
-export interface WindowBudgetLimits {
+export interface SlidingRetryLimits {
   /** Retries per request. */
   readonly ratio: number;
   /** Retries per window that are allowed in addition to the ratio. */
@@ -29,18 +29,18 @@
 }
 
 /** Retry budget of one service at one node. */
-export class WindowBudget {
+export class SlidingRetryBudget {
   private buckets: Bucket[] = [];
 
-  constructor(private readonly limits: WindowBudgetLimits) {}
+  constructor(private readonly limits: SlidingRetryLimits) {}
 
   /** Counts the first attempt of a request. */
-  request(nowMs: number): void {
+  recordRequest(nowMs: number): void {
     this.currentBucket(nowMs).requests++;
   }
 
   /** Spends one retry; false when the budget is exhausted. */
-  tryRepeat(nowMs: number, nodes: number): boolean {
+  tryRetry(nowMs: number, nodes: number): boolean {
     const current = this.currentBucket(nowMs);
     let requests = 0;
     let retries = 0;
--- a/src/policy/stallWatch.ts
+++ b/src/policy/stallDetector.ts
@@ -12,17 +12,17 @@
 const MIN_STREAMS = 2;
 
 /** Streams of one group at one node. */
-export class StallWatch {
+export class StallDetector {
   private streams = 0;
   private eventAtMs = -Infinity;
 
   /** Records that a stream has delivered its first event. */
-  opened(): void {
+  streamStarted(): void {
     this.streams++;
   }
 
   /** Records the end of a stream that was counted by `opened`. */
-  closed(): void {
+  streamEnded(): void {
     this.streams--;
   }
 
--- a/src/policy/targetHealth.ts
+++ b/src/policy/targetHealth.ts
@@ -4,7 +4,7 @@
  */
 
 /** Result of one attempt at the target. */
-export type AttemptSign =
+export type AttemptResult =
   | {readonly kind: 'good'; readonly latencyMs: number}
   /** The target failed a request that it had accepted, or did not respond. */
   | {readonly kind: 'failed'}
@@ -45,7 +45,7 @@
     return nowMs < this.pausedUntilMs;
   }
 
-  note(sign: AttemptSign, nowMs: number): void {
+  note(sign: AttemptResult, nowMs: number): void {
     switch (sign.kind) {
       case 'good':
         this.consecutiveFailures = 0;
--- a/src/ports/rankPort.ts
+++ b/src/ports/rankPort.ts
@@ -1,7 +1,7 @@
 /** Interface to the ranks of a model group: reading their state, sending orders. */
 
 /** An expert map: the experts of each rank, by expert set, then by rank. */
-export type MapLists = readonly (readonly (readonly number[])[])[];
+export type GroupExpertMap = readonly (readonly (readonly number[])[])[];
 
 /** State of one rank. */
 export interface RankReport {
@@ -39,7 +39,7 @@
   | {
       readonly kind: 'prepare';
       readonly version: number;
-      readonly lists: MapLists;
+      readonly lists: GroupExpertMap;
     }
   | {readonly kind: 'arm'; readonly version: number; readonly pass: number}
   | {readonly kind: 'disarm'; readonly version: number}
--- a/src/ranks/clearing.ts
+++ b/src/ranks/clearingPhase.ts
@@ -4,7 +4,7 @@
  * replaces the version that the late order names, so the rank refuses it.
  */
 
-import type {MapLists, OrderAnswer, RankOrder} from '../ports/rankPort';
+import type {GroupExpertMap, OrderAnswer, RankOrder} from '../ports/rankPort';
 import type {RankViews} from './rankViews';
 import type {OutgoingOrder, RankView} from './switchPhase';
 
@@ -29,7 +29,7 @@
   ranks: RankViews,
   nowMs: number,
   replacementVersion: number,
-  lists: MapLists
+  lists: GroupExpertMap
 ): readonly OutgoingOrder[] {
   // Copies are sent to all ranks at once, after every rank has been disarmed.
   const areAllDisarmed = ranks.views.every(({isDisarmed}) => isDisarmed);
@@ -43,7 +43,7 @@
 function clearingOrder(
   view: RankView,
   replacementVersion: number,
-  lists: MapLists
+  lists: GroupExpertMap
 ): RankOrder | undefined {
   const armed = view.report?.armed;
   const isLateArm = armed !== undefined && isReportSettled(view);
--- a/src/ranks/demandSampler.ts
+++ b/src/ranks/demandSampler.ts
@@ -2,10 +2,10 @@
 
 import type {Logger} from '../core/logger';
 import type {OrderScope, RankCodec} from '../ports/rankPort';
-import type {Located} from '../policy/relayPlan';
+import type {ZonedAddress} from '../policy/relayPlan';
 import type {EngineProfile} from '../site/site';
 import type {RankCounts} from './expertDemand';
-import type {RankTransport} from './rankCaller';
+import type {RankTransport} from './rankTransport';
 import {isOk} from './rankClient';
 
 /**
@@ -22,7 +22,7 @@
   readonly name: string;
   readonly engine: EngineProfile;
   readonly scope: OrderScope;
-  readonly ranks: readonly (Located & {readonly id: string})[];
+  readonly ranks: readonly (ZonedAddress & {readonly id: string})[];
   readonly codec: RankCodec;
   readonly transport: RankTransport;
   readonly logger: Logger;
--- a/src/ranks/groupController.ts
+++ b/src/ranks/groupController.ts
@@ -10,7 +10,7 @@
 import type {EngineProfile} from '../site/site';
 import type {MapOutlook} from '../policy/mapOutlook';
 import type {ShiftHistory} from '../policy/shiftHistory';
-import {fixedPassMs, requestPassMs} from '../policy/passLength';
+import {fixedPassMs, passMsPerRequest} from '../policy/passDuration';
 import {DemandSampler} from './demandSampler';
 import {planMap} from './mapPlan';
 import type {DueReading, PassDurations} from './shiftDetector';
@@ -20,9 +20,9 @@
 import {OrderSender} from './orderSender';
 import type {RankAnswer} from './rankClient';
 import {isOk} from './rankClient';
-import type {RankTransport} from './rankCaller';
+import type {RankTransport} from './rankTransport';
 import type {OutgoingOrder} from './switchPhase';
-import {GroupMapSwitch} from './rankSwitch';
+import {GroupMapSwitch} from './groupMapSwitch';
 
 /** Interval of reading reports during a switch. */
 const SWITCH_REPORT_INTERVAL_MS = 100;
@@ -133,8 +133,10 @@
     const {shifts} = this.parts;
     return {
       skew: this.activeSkew,
-      shiftSkew: shifts.worst(nowMs),
-      dueSkew: this.hasPlanned ? shifts.due(nowMs) : shifts.worst(nowMs),
+      shiftSkew: shifts.worstSkew(nowMs),
+      dueSkew: this.hasPlanned
+        ? shifts.dueSkew(nowMs)
+        : shifts.worstSkew(nowMs),
       isHeld: nowMs - this.heldAtMs < HOLD_VISIBLE_MS,
     };
   }
@@ -254,7 +256,7 @@
   private passDurations(): PassDurations {
     const {engine, ranks, streamPassMs, running} = this.parts;
     const skew = this.activeSkew;
-    const requestMs = requestPassMs({engine, ranks: ranks.length, skew});
+    const requestMs = passMsPerRequest({engine, ranks: ranks.length, skew});
     const forecastMs = fixedPassMs(engine) + running() * requestMs;
     return {passMs: streamPassMs(), forecastMs};
   }
@@ -280,7 +282,7 @@
     this.hasPlanned = true;
     // The skew caused by a slow rank does not predict that of the next shift.
     if (this.isPlanForShift)
-      this.parts.shifts.note(plan.beforeIfInOrder, performance.now());
+      this.parts.shifts.recordShift(plan.beforeIfInOrder, performance.now());
     this.isPlanForShift = false;
     if (!this.isSwitchWorthwhile(before - after)) return;
     this.parts.logger.info(
--- a/src/ranks/rankDirector.ts
+++ b/src/ranks/groupControllerManager.ts
@@ -6,13 +6,13 @@
 import type {RankCodec} from '../ports/rankPort';
 import {streamGoals} from '../site/streamGoals';
 import type {TargetRecord} from '../site/announcement';
-import {groupOpenings} from '../site/groupOpenings';
+import {groupStatuses} from '../site/groupStatus';
 import type {SiteService} from '../site/site';
 import type {MapOutlook} from '../policy/mapOutlook';
-import type {Located} from '../policy/relayPlan';
+import type {ZonedAddress} from '../policy/relayPlan';
 import {ShiftHistory} from '../policy/shiftHistory';
 import {GroupController} from './groupController';
-import {RankTransport} from './rankCaller';
+import {RankTransport} from './rankTransport';
 
 interface RunningGroup {
   /** Leader's term, epoch and ranks; a new key needs a new controller. */
@@ -24,7 +24,7 @@
 }
 
 /** Controllers of all groups, by name of the group. */
-export class RankDirector {
+export class GroupControllerManager {
   private readonly groups = new Map<string, RunningGroup>();
   private readonly transport: RankTransport;
 
@@ -65,7 +65,7 @@
   }
 
   private tickService(service: SiteService, nowMs: number): void {
-    const openings = groupOpenings(this.node.table.records());
+    const openings = groupStatuses(this.node.table.records());
     for (const [name, ranks] of this.groupsOf(service.name)) {
       const [first] = ranks;
       const size = first?.group?.size ?? 0;
@@ -157,7 +157,7 @@
 }
 
 /** Nodes with a known zone. Those with a disk, busy with the log, come last. */
-function relayNodes(node: ClusterNode): readonly Located[] {
+function relayNodes(node: ClusterNode): readonly ZonedAddress[] {
   return node
     .recentNodes()
     .flatMap(({ip, hasDisk, availabilityZone}) =>
--- a/src/ranks/rankSwitch.ts
+++ b/src/ranks/groupMapSwitch.ts
@@ -18,13 +18,13 @@
 
 import {unreachable} from '../core/errors';
 import type {
-  MapLists,
+  GroupExpertMap,
   OrderAnswer,
   RankOrder,
   RankReport,
 } from '../ports/rankPort';
-import {clearingOrders, isCleared, noteClearingAnswer} from './clearing';
-import {ReleasedSwitches} from './lastSwitch';
+import {clearingOrders, isCleared, noteClearingAnswer} from './clearingPhase';
+import {ReleasedSwitches} from './releasedSwitches';
 import {PassClock} from './passClock';
 import {
   commonPreparedVersion,
@@ -82,7 +82,7 @@
   /** Whether a rank knows a newer leader; no more orders are sent then. */
   isFenced = false;
   private readonly ranks: RankViews;
-  private activeLists: MapLists;
+  private activeLists: GroupExpertMap;
   private nextVersion: number;
   private replacementVersion = 0;
   private areListsKnown = true;
@@ -95,7 +95,7 @@
   constructor(
     ranks: number,
     /** Map in use; `activeVersion` is its version. */
-    lists: MapLists,
+    lists: GroupExpertMap,
     private activeVersion: number,
     /**
      * Higher than every version used in earlier epochs and by earlier leaders.
@@ -114,7 +114,7 @@
   }
 
   /** Map that all ranks use. */
-  get lists(): MapLists {
+  get lists(): GroupExpertMap {
     return this.activeLists;
   }
 
@@ -175,7 +175,7 @@
 
   /** Begins a switch; does nothing unless `isReady`. */
   begin(
-    lists: MapLists,
+    lists: GroupExpertMap,
     /** Time that the rank with the most new experts needs to copy them. */
     copyMs: number,
     nowMs: number
@@ -441,7 +441,7 @@
    */
   private nextHold(
     version: number,
-    lists: MapLists,
+    lists: GroupExpertMap,
     attempts: number
   ): SwitchPhase {
     const leadPasses = this.hasUnknownOutcome ? LOSSY_LEAD_PASSES : 0;
--- a/src/ranks/mapPlan.ts
+++ b/src/ranks/mapPlan.ts
@@ -1,8 +1,8 @@
 /** Plans the next map of a group: the experts on each rank, set by set. */
 
 import {sum} from '../core/sum';
-import type {MapLists} from '../ports/rankPort';
-import {copiesARank} from '../policy/copyLimit';
+import type {GroupExpertMap} from '../ports/rankPort';
+import {maxCopiesPerRank} from '../policy/copyLimit';
 import {planSpread, spreadSkew} from '../policy/expertSpread';
 import type {EngineProfile} from '../site/site';
 import type {ExpertDemand} from './expertDemand';
@@ -15,7 +15,7 @@
 /** Input of a plan. */
 export interface MapPlanInput {
   /** Map in use. */
-  readonly current: MapLists;
+  readonly current: GroupExpertMap;
   readonly demand: ExpertDemand;
   readonly engine: EngineProfile;
   /** Slowdown factor of each rank; 1 for normal speed. */
@@ -24,7 +24,7 @@
 
 /** A plan for all sets. */
 export interface MapPlan {
-  readonly lists: MapLists;
+  readonly lists: GroupExpertMap;
   /** Mean skew of the sets, including the effect of slow ranks. */
   readonly before: number;
   readonly after: number;
@@ -44,9 +44,9 @@
   const skews = skewBySet(current, demand, slowness);
   const before = meanOf(skews);
   const beforeIfInOrder = meanOf(skewBySet(current, demand));
-  const copiesPerRank = copiesARank({
+  const copiesPerRank = maxCopiesPerRank({
     skew: before,
-    skewIfInOrder: beforeIfInOrder,
+    skewWithoutSlowRanks: beforeIfInOrder,
     copyMs: engine.expertCopyMs,
   });
   const remaining = (current[0] ?? []).map(() => copiesPerRank);
@@ -58,7 +58,7 @@
   for (const [position, {set}] of order.entries()) {
     const plan = planSpread(current[set] ?? [], demand.ofSet(set), {
       places: engine.placesPerRank,
-      newOnRank: remaining.map(count => Math.min(count, engine.sparePlaces)),
+      maxNewByRank: remaining.map(count => Math.min(count, engine.sparePlaces)),
       minGainPerCopy: MIN_SKEW_REDUCTION_PER_COPY,
       // Divides the remaining copies evenly among the remaining sets.
       maxCopies: Math.ceil(sum(remaining) / (order.length - position)),
@@ -81,7 +81,7 @@
 
 /** Highest load over the mean, by set; without `slowness`, at normal speed. */
 function skewBySet(
-  lists: MapLists,
+  lists: GroupExpertMap,
   demand: ExpertDemand,
   slowness?: readonly number[]
 ): number[] {
--- a/src/ranks/orderSender.ts
+++ b/src/ranks/orderSender.ts
@@ -9,10 +9,10 @@
   RankCodec,
   RankOrder,
 } from '../ports/rankPort';
-import type {Located} from '../policy/relayPlan';
+import type {ZonedAddress} from '../policy/relayPlan';
 import type {OrderBatch} from './orderBatches';
 import {AnswerTally, batchOrders} from './orderBatches';
-import type {FanOutSummary, RankCallKind, RankTransport} from './rankCaller';
+import type {FanOutSummary, RankCallKind, RankTransport} from './rankTransport';
 import type {RankAnswer} from './rankClient';
 import type {OutgoingOrder, SwitchEvent} from './switchPhase';
 
@@ -21,7 +21,7 @@
   /** Name of the group. */
   readonly name: string;
   readonly scope: OrderScope;
-  readonly ranks: readonly (Located & {readonly id: string})[];
+  readonly ranks: readonly (ZonedAddress & {readonly id: string})[];
   readonly codec: RankCodec;
   readonly transport: RankTransport;
   readonly logger: Logger;
--- a/src/ranks/rankCaller.ts
+++ b/src/ranks/rankTransport.ts
@@ -3,7 +3,7 @@
 import {from, lastValueFrom, mergeMap, toArray} from 'rxjs';
 import {packText} from '../site/packText';
 import type {RankCall} from '../ports/rankPort';
-import type {Located} from '../policy/relayPlan';
+import type {ZonedAddress} from '../policy/relayPlan';
 import {planRelays} from '../policy/relayPlan';
 import {RetransmitTimeout} from '../policy/retransmitTimeout';
 import type {RankAnswer} from './rankClient';
@@ -18,7 +18,7 @@
 /** Access to the nodes that can relay calls. */
 export interface RelayNodes {
   /** Nodes that reported recently, without this one. */
-  relays(): readonly Located[];
+  relays(): readonly ZonedAddress[];
   /** Rejects when no reply arrives within the timeout. */
   callNode(
     ip: string,
@@ -65,7 +65,7 @@
 
   /** Calls one rank; undefined when no response arrived in time. */
   async call(
-    rank: Located,
+    rank: ZonedAddress,
     kind: RankCallKind,
     call: RankCall
   ): Promise<RankAnswer | undefined> {
@@ -80,7 +80,7 @@
    * Makes the same call to many ranks; `onAnswer` gets each response as it
    * comes.
    */
-  async callAll<T extends Located>(
+  async callAll<T extends ZonedAddress>(
     ranks: readonly T[],
     kind: RankCallKind,
     call: RankCall,
@@ -114,7 +114,7 @@
     };
   }
 
-  private async callViaRelay<T extends Located>(
+  private async callViaRelay<T extends ZonedAddress>(
     relay: string,
     call: Omit<RelayParams, 'addresses'>,
     ranks: readonly T[],
@@ -141,7 +141,7 @@
     return answers;
   }
 
-  private usableRelays(nowMs: number): readonly Located[] {
+  private usableRelays(nowMs: number): readonly ZonedAddress[] {
     return this.nodes
       .relays()
       .filter(({address}) => (this.backoffUntilMs.get(address) ?? 0) <= nowMs);
@@ -169,7 +169,7 @@
   }
 }
 
-function callDirectly<T extends Located>(
+function callDirectly<T extends ZonedAddress>(
   ranks: readonly T[],
   call: RankCall,
   timeoutMs: number,
--- a/src/ranks/switchPhase.ts
+++ b/src/ranks/switchPhase.ts
@@ -2,7 +2,7 @@
 
 import {unreachable} from '../core/errors';
 import type {
-  MapLists,
+  GroupExpertMap,
   OrderAnswer,
   RankOrder,
   RankReport,
@@ -17,13 +17,13 @@
   | {
       readonly kind: 'preparing';
       readonly version: number;
-      readonly lists: MapLists;
+      readonly lists: GroupExpertMap;
     }
   /** Holds the group before the pass. */
   | {
       readonly kind: 'holding';
       readonly version: number;
-      readonly lists: MapLists;
+      readonly lists: GroupExpertMap;
       readonly pass: number;
       readonly attempts: number;
     }
@@ -31,7 +31,7 @@
   | {
       readonly kind: 'arming';
       readonly version: number;
-      readonly lists: MapLists;
+      readonly lists: GroupExpertMap;
       readonly pass: number;
     }
   /** Takes over the hold of an earlier leader, which may have been released. */
@@ -55,7 +55,7 @@
       readonly pass: number;
       readonly map: 'new' | 'old';
       readonly version: number;
-      readonly lists: MapLists;
+      readonly lists: GroupExpertMap;
     };
 
 /** The phase of one kind. */
--- a/src/rpc/peerClient.ts
+++ b/src/rpc/peerClient.ts
@@ -33,7 +33,10 @@
  * Creates a keep-alive HTTPS agent that authenticates as `identity` with
  * `secret`.
  */
-export function createPeerAgent(secret: string, identity: string): https.Agent {
+export function createPeerHttpsAgent(
+  secret: string,
+  identity: string
+): https.Agent {
   const tls = clientTls(secret, identity);
   return new PeerHttpsAgent({
     ...tls,
--- a/src/rules/ruleDiff.ts
+++ b/src/rules/ruleDiff.ts
@@ -7,7 +7,7 @@
 import type {LineChange, RuleDiff} from '../core/wire';
 
 /** The text of a rule file and its revision. */
-export interface RevisedText {
+export interface RuleFileRevision {
   readonly revision: number;
   readonly text: string;
 }
@@ -110,7 +110,10 @@
 }
 
 /** Computes the difference that turns one file into the other. */
-export function diffRules(from: RevisedText, to: RevisedText): RuleDiff {
+export function diffRules(
+  from: RuleFileRevision,
+  to: RuleFileRevision
+): RuleDiff {
   const fromLines = from.text.split('\n');
   const toLines = to.text.split('\n');
   const ends = [
@@ -139,9 +142,9 @@
  * well: a wrong active line would go unnoticed until it misroutes a request.
  */
 export function applyDiff(
-  from: RevisedText,
+  from: RuleFileRevision,
   diff: RuleDiff
-): RevisedText | undefined {
+): RuleFileRevision | undefined {
   if (diff.fromRevision !== from.revision) return undefined;
   if (diff.fromDigest !== textDigest(from.text)) return undefined;
   const lines = from.text.split('\n');
--- a/src/rules/ruleIndex.ts
+++ b/src/rules/ruleIndex.ts
@@ -130,7 +130,7 @@
     this.onceTables = mapValues(byMethod, onceTable);
   }
 
-  isKnown(customer: string): boolean {
+  isKnownCustomer(customer: string): boolean {
     return this.customers.has(customer);
   }
 
@@ -190,13 +190,13 @@
    * Models to assign to the targets of the pool; if empty, their models are not
    * changed.
    */
-  serves(pool: string): readonly ServeRule[] {
+  serveRules(pool: string): readonly ServeRule[] {
     return this.serveRulesByPool.get(pool) ?? [];
   }
 
   /** Whether a `serve` line assigns the model to the pool. */
   servesModel(pool: string, model: string): boolean {
-    return this.serves(pool).some(rule => rule.model === model);
+    return this.serveRules(pool).some(rule => rule.model === model);
   }
 
   poolKind(pool: string): PoolRule['targets'] | undefined {
--- a/src/site/groupOpenings.ts
+++ b/src/site/groupStatus.ts
@@ -18,7 +18,7 @@
 export type GroupStatuses = ReadonlyMap<string, GroupStatus>;
 
 /** Uses the latest epoch; within one, a group may break but never reopens. */
-export function groupOpenings(records: readonly TargetRecord[]): GroupStatuses {
+export function groupStatuses(records: readonly TargetRecord[]): GroupStatuses {
   const statuses = new Map<string, GroupStatus>();
   for (const {group, state} of records) {
     if (group === undefined || state === 'gone') continue;
--- a/src/site/site.ts
+++ b/src/site/site.ts
@@ -7,7 +7,7 @@
 import type {PassProfile} from '../core/passProfile';
 
 /** Whether a request may be retried when the outcome of an attempt is unknown. */
-export type Repeat =
+export type RetrySemantics =
   /** May run more than once. */
   | 'idempotent'
   /** May run at most once. */
@@ -28,7 +28,7 @@
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  readonly repeat: Repeat;
+  readonly repeat: RetrySemantics;
   /** Whether a stream may be continued by another target. */
   readonly resumable: boolean;
   /** Longest time that a caller waits, milliseconds. */
--- a/src/site/siteIndex.ts
+++ b/src/site/siteIndex.ts
@@ -17,7 +17,7 @@
   }
 
   /** Whether callers must identify themselves by a key. */
-  get asksForKeys(): boolean {
+  get requiresKeys(): boolean {
     return this.site.customers.length > 0;
   }
 
--- a/src/sync/announced.ts
+++ b/src/sync/announcementTracker.ts
@@ -12,7 +12,7 @@
 }
 
 /** State for one control instance. */
-export class AnnouncedTo {
+export class AnnouncementTracker {
   /** Last content that a reply confirmed; undefined when not known. */
   private confirmedContent: string | undefined;
   private instanceBootId: string | undefined;
@@ -34,7 +34,10 @@
    * target leaves. A reply to the earlier poll that arrives last confirms
    * nothing, since the instance holds the content of the later one.
    */
-  answered(poll: SentAnnouncement, {bootId, announceAgain}: PollAnswer): void {
+  handleReply(
+    poll: SentAnnouncement,
+    {bootId, announceAgain}: PollAnswer
+  ): void {
     const hasRestarted =
       bootId !== this.instanceBootId && this.confirmedContent !== undefined;
     this.instanceBootId = bootId;
@@ -42,12 +45,12 @@
     this.highestRepliedSeq = Math.max(this.highestRepliedSeq, poll.seq);
     // An instance that omits the field does not support `unchanged`.
     const isAccepted = announceAgain === false;
-    if (!isAccepted || hasRestarted || isLate) return this.lost();
+    if (!isAccepted || hasRestarted || isLate) return this.invalidate();
     this.confirmedContent = poll.content;
   }
 
   /** Forces a full announcement next time, as after a poll without a reply. */
-  lost(): void {
+  invalidate(): void {
     this.confirmedContent = undefined;
   }
 }
--- a/src/sync/controlSync.ts
+++ b/src/sync/controlSync.ts
@@ -27,12 +27,12 @@
 import {parseRules} from '../rules/parseRules';
 import {applyDiff} from '../rules/ruleDiff';
 import {RuleIndex} from '../rules/ruleIndex';
-import {AnnouncedTo} from './announced';
+import {AnnouncementTracker} from './announcementTracker';
 import {Freshness, FreshnessProof} from './freshness';
 import {LeaderCalls} from './leaderCalls';
 import {LocateResult, locateTarget} from './locateTarget';
 import {TargetDirectory} from './targetDirectory';
-import {UsageReport, UsageTo} from './usageReports';
+import {UsageReport, UsageTracker} from './usageTracker';
 
 /** What the process reports of itself; evaluated at each poll. */
 export interface SelfReport {
@@ -73,9 +73,12 @@
   /** Undefined until the first rules are known. */
   readonly rules$ = new BehaviorSubject<ActiveRules | undefined>(undefined);
   private readonly proof: FreshnessProof;
-  private readonly announcementTrackers: ReadonlyMap<string, AnnouncedTo>;
+  private readonly announcementTrackers: ReadonlyMap<
+    string,
+    AnnouncementTracker
+  >;
   private subscription: Subscription | undefined;
-  private readonly usageTrackers: ReadonlyMap<string, UsageTo>;
+  private readonly usageTrackers: ReadonlyMap<string, UsageTracker>;
   private leaving = false;
   private wasProven = false;
   private takesDiff = true;
@@ -84,10 +87,13 @@
     this.proof = new FreshnessProof(options.instances.length, options.proofMs);
     this.leader = new LeaderCalls(options.instances);
     this.announcementTrackers = new Map(
-      options.instances.map(({address}) => [address.id, new AnnouncedTo()])
+      options.instances.map(({address}) => [
+        address.id,
+        new AnnouncementTracker(),
+      ])
     );
     this.usageTrackers = new Map(
-      options.instances.map(({address}) => [address.id, new UsageTo()])
+      options.instances.map(({address}) => [address.id, new UsageTracker()])
     );
   }
 
@@ -112,7 +118,7 @@
   }
 
   freshness(): Freshness {
-    const freshness = this.proof.judge(performance.now());
+    const freshness = this.proof.evaluate(performance.now());
     if (freshness.kind === 'unproven' && this.wasProven) {
       this.options.metrics.count('rules.unproven');
       this.options.logger.warn(
@@ -125,8 +131,8 @@
   }
 
   /** Records that a revision exists, as reported by another process. */
-  sawRevision(revision: number): void {
-    this.proof.sawRevision(revision);
+  observeRevision(revision: number): void {
+    this.proof.observeRevision(revision);
   }
 
   /** Finds a target, including one that is not in this entry's subset. */
@@ -148,7 +154,7 @@
    * Reports the final state to every control instance when the process leaves.
    * Usage goes to all of them from now on, not only to the leader.
    */
-  async announceNow(): Promise<void> {
+  async announceLeaving(): Promise<void> {
     this.leaving = true;
     for (const tracker of this.usageTrackers.values())
       tracker.reportAtNextPoll();
@@ -176,13 +182,13 @@
         this.options.proofMs
       );
       if (sentAnnouncement !== undefined)
-        tracker?.answered(sentAnnouncement, reply);
+        tracker?.handleReply(sentAnnouncement, reply);
       if (usageReport !== undefined)
-        this.usageTrackers.get(instanceId)?.answered(usageReport, reply);
+        this.usageTrackers.get(instanceId)?.handleReply(usageReport, reply);
       this.applyReply(reply, askedAtMs);
     } catch (err) {
       if (!(err instanceof PeerError)) throw err;
-      tracker?.lost();
+      tracker?.invalidate();
       this.handlePollFailure(instanceId, askedAtMs, err);
     }
     this.directory.expire(performance.now());
@@ -202,12 +208,12 @@
     const {leaderHint} = this.leader;
     const mayBeLeader = leaderHint === undefined || leaderHint === instanceId;
     if (!mayBeLeader && !this.leaving) return undefined;
-    return this.usageTrackers.get(instanceId)?.due(usage, nowMs);
+    return this.usageTrackers.get(instanceId)?.nextReport(usage, nowMs);
   }
 
   private buildPollRequest(instanceId: string): PollRequest {
     const {processId, role, bootId, availabilityZone, subset} = this.options;
-    const freshness = this.proof.judge(performance.now());
+    const freshness = this.proof.evaluate(performance.now());
     return {
       processId,
       role,
@@ -218,7 +224,7 @@
       provenAgeMs:
         freshness.kind === 'proven' ? Math.round(freshness.ageMs) : undefined,
       membership:
-        role === 'entry' ? this.directory.heldFrom(instanceId) : undefined,
+        role === 'entry' ? this.directory.cursorFor(instanceId) : undefined,
       subset,
     };
   }
@@ -227,7 +233,7 @@
     if (reply.rulesDiff !== undefined) this.applyRulesDiff(reply.rulesDiff);
     if (reply.rules !== undefined) this.applyRules(reply.rules);
     const {voter, voterCount, lastRevision, instanceId} = reply;
-    this.proof.add(instanceId, {
+    this.proof.addEvidence(instanceId, {
       kind: 'answered',
       askedAtMs,
       voter,
@@ -282,7 +288,7 @@
       revision: rules.revision,
       index: new RuleIndex(parsed.ruleSet),
     });
-    this.proof.hold(rules.revision);
+    this.proof.setAppliedRevision(rules.revision);
     this.takesDiff = true;
     metrics.count('rules.applied');
     logger.info({revision: rules.revision}, 'rules in force');
@@ -299,7 +305,7 @@
     );
     const {fault} = err;
     if (fault.kind === 'unreachable' && fault.refusedByHost) {
-      this.proof.add(instanceId, {kind: 'not running', askedAtMs});
+      this.proof.addEvidence(instanceId, {kind: 'not running', askedAtMs});
     }
   }
 }
--- a/src/sync/freshness.ts
+++ b/src/sync/freshness.ts
@@ -47,22 +47,23 @@
   ) {}
 
   /** Records the result of a poll, unless a later poll is already recorded. */
-  add(instanceId: string, evidence: InstanceEvidence): void {
+  addEvidence(instanceId: string, evidence: InstanceEvidence): void {
     const known = this.evidence.get(instanceId);
     if (known !== undefined && known.askedAtMs > evidence.askedAtMs) return;
     this.evidence.set(instanceId, evidence);
-    if (evidence.kind === 'answered') this.sawRevision(evidence.lastRevision);
+    if (evidence.kind === 'answered')
+      this.observeRevision(evidence.lastRevision);
     this.updateProof();
   }
 
   /** Records that this process has applied a revision. */
-  hold(revision: number): void {
+  setAppliedRevision(revision: number): void {
     this.appliedRevision = revision;
     this.updateProof();
   }
 
   /** Records that a revision exists, as reported by any peer. */
-  sawRevision(revision: number): void {
+  observeRevision(revision: number): void {
     this.highestSeenRevision = Math.max(this.highestSeenRevision, revision);
   }
 
@@ -70,7 +71,7 @@
     return this.appliedRevision;
   }
 
-  judge(nowMs: number): Freshness {
+  evaluate(nowMs: number): Freshness {
     const ageMs =
       this.provenAtMs === undefined ? undefined : nowMs - this.provenAtMs;
     if (this.appliedRevision === 0) return {kind: 'unproven', ageMs};
--- a/src/sync/targetDirectory.ts
+++ b/src/sync/targetDirectory.ts
@@ -23,12 +23,12 @@
 /** Ages of the content of an announcement, milliseconds. */
 export interface AnnouncementAges {
   /** Time since it first arrived. */
-  readonly arrivedMs: number;
+  readonly sinceArrivalMs: number;
   /**
    * Time since a control instance last replied without a newer announcement of
    * the target: until then no change was large enough to affect a choice.
    */
-  readonly confirmedMs: number;
+  readonly sinceConfirmationMs: number;
 }
 
 /** One merged view; times are `performance.now()` milliseconds. */
@@ -69,7 +69,7 @@
   /**
    * What is held from an instance; the next poll asks for later changes only.
    */
-  heldFrom(
+  cursorFor(
     instanceId: string
   ): {readonly bootId: string; readonly version: number} | undefined {
     const view = this.views.get(instanceId);
@@ -107,8 +107,8 @@
         confirmedAtMs = Math.max(confirmedAtMs, repliedAtMs);
     }
     return {
-      arrivedMs: nowMs - arrivedAtMs,
-      confirmedMs: nowMs - confirmedAtMs,
+      sinceArrivalMs: nowMs - arrivedAtMs,
+      sinceConfirmationMs: nowMs - confirmedAtMs,
     };
   }
 
--- a/src/sync/usageReports.ts
+++ b/src/sync/usageTracker.ts
@@ -18,7 +18,7 @@
 }
 
 /** State for one control instance. */
-export class UsageTo {
+export class UsageTracker {
   private readonly confirmedRows = new Map<string, CustomerUsage>();
   private sentAtMs = -Infinity;
 
@@ -27,7 +27,7 @@
    * there are none or the last report is too recent. Sent with every poll,
    * usage would be most of the bytes that an entry sends.
    */
-  due(
+  nextReport(
     totals: readonly CustomerUsage[],
     nowMs: number
   ): UsageReport | undefined {
@@ -54,7 +54,7 @@
    * dropped this boot, lacks the rows that were not sent: it would take a
    * partial report for all of this entry's usage, so the next one is complete.
    */
-  answered({rows}: UsageReport, {usageAgain}: PollAnswer): void {
+  handleReply({rows}: UsageReport, {usageAgain}: PollAnswer): void {
     if (usageAgain === false)
       return rows.forEach(row => this.confirmedRows.set(row.customer, row));
     this.confirmedRows.clear();
--- a/tests/agentLimit.spec.ts
+++ b/tests/agentLimit.spec.ts
@@ -4,7 +4,7 @@
 import {RuleIndex} from '../src/rules/ruleIndex';
 import type {ControlSync} from '../src/sync/controlSync';
 import type {TargetAdapter} from '../src/target/targetAdapter';
-import {SILENT} from './logCluster';
+import {SILENT_LOGGER} from './logCluster';
 
 const RULES = `revision 1 # asked by Aoife
 pool allocation service # asked by Aoife
@@ -30,7 +30,7 @@
     availabilityZone: 'quay-a',
     host: '127.0.0.1',
     adapter: {} as TargetAdapter,
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     metrics: new Metrics('test'),
   });
 }
