--- a/tests/agentPort.spec.ts
+++ b/tests/agentPort.spec.ts
@@ -3,7 +3,7 @@
 import {FakeLedger} from '../fakes/ledger';
 import {PROTOCOL_VERSION} from '../src/core/protocolVersion';
 import {METHODS} from '../src/rpc/messages';
-import {PeerClient, createPeerAgent} from '../src/rpc/peerClient';
+import {PeerClient, createPeerHttpsAgent} from '../src/rpc/peerClient';
 import {PROTOCOL_HEADER} from '../src/rpc/peerServer';
 import {
   AgentUnderTest,
@@ -13,18 +13,18 @@
   startAgent,
 } from './fixtures/agentPort';
 import {sendBytes} from './fixtures/rawCalls';
-import {eventually} from './fixtures/system';
-import {closeTargets, later, started} from './fixtures/targets';
+import {eventually} from './fixtures/testSystem';
+import {runCleanups, onCleanup, startFake} from './fixtures/targets';
 
 let ledger: FakeLedger;
 let testAgent: AgentUnderTest;
 
 beforeEach(async () => {
-  ledger = await started(new FakeLedger());
+  ledger = await startFake(new FakeLedger());
   testAgent = await startAgent(ledger.port);
   await eventually('the agent accepts work', async () => announced().limit > 0);
 });
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 function announced() {
   const announcement = testAgent.lastPoll()?.announcement;
@@ -52,8 +52,8 @@
   });
 
   it('should refuse a call in another protocol version', async () => {
-    const agent = createPeerAgent(SECRET, 'entry-0');
-    later(() => agent.destroy());
+    const agent = createPeerHttpsAgent(SECRET, 'entry-0');
+    onCleanup(() => agent.destroy());
     const headers = {[PROTOCOL_HEADER]: '0'};
     const options = {host: '127.0.0.1', port: testAgent.port, agent, headers};
     const res = await new Promise<IncomingMessage>((resolve, reject) =>
@@ -105,7 +105,7 @@
   it.each(['/assign', '/big?bytes=1000000'])(
     'should end a call to %s whose entry went away',
     async path => {
-      ledger.breakNext({kind: 'answerLate', ms: 200});
+      ledger.injectFault({kind: 'answerLate', ms: 200});
       const disconnect = new AbortController();
       const claim = {key: 'key', attempt: 1};
       const call = dispatch({
@@ -132,8 +132,8 @@
 
 /** Queries the agent for the state of a claim. */
 function fenceClaim(claim: object): Promise<{kind: string; answer?: unknown}> {
-  const agent = createPeerAgent(SECRET, 'entry-1');
-  later(() => agent.destroy());
+  const agent = createPeerHttpsAgent(SECRET, 'entry-1');
+  onCleanup(() => agent.destroy());
   const address = {id: 'agent-0', host: '127.0.0.1', port: testAgent.port};
   const {agentBootId} = announced();
   const params = {...claim, agentBootId};
--- a/tests/attempts.spec.ts
+++ b/tests/attempts.spec.ts
@@ -2,20 +2,20 @@
 import {Attempts} from '../src/entry/attempts';
 import type {ClassifiedCall} from '../src/entry/call';
 import type {CallerResume} from '../src/entry/chat/chatRequest';
-import {dispatchAttempt} from '../src/entry/dispatchOnce';
+import {dispatchAttempt} from '../src/entry/dispatchAttempt';
 import type {EntryCore} from '../src/entry/entryCore';
 import {RetryBudgets} from '../src/entry/retryBudgets';
 import {TargetLoad} from '../src/entry/targetLoad';
 import {ZoneReturns} from '../src/entry/zoneReturns';
 import {createLogger} from '../src/core/logger';
 import {Metrics} from '../src/core/metrics';
-import {Progress} from '../src/core/progress';
+import {CallContext} from '../src/core/callContext';
 import {RefusalError, RefusalReason} from '../src/core/refusal';
 import {TargetDirectory} from '../src/sync/targetDirectory';
-import {announce, tell} from './fixtures/announcements';
+import {buildAnnouncement, applyAnnouncements} from './fixtures/announcements';
 
-jest.mock('../src/entry/dispatchOnce', () => ({
-  ...jest.requireActual('../src/entry/dispatchOnce'),
+jest.mock('../src/entry/dispatchAttempt', () => ({
+  ...jest.requireActual('../src/entry/dispatchAttempt'),
   dispatchAttempt: jest.fn(),
 }));
 
@@ -24,9 +24,9 @@
 function coreOf(count: number): EntryCore {
   const directory = new TargetDirectory();
   const targets = Array.from({length: count}, (_, i) =>
-    announce({targetId: `ledger-${i}`, pool: 'allocation'})
+    buildAnnouncement({targetId: `ledger-${i}`, pool: 'allocation'})
   );
-  tell(directory, 'control-0', targets);
+  applyAnnouncements(directory, 'control-0', targets);
   return {
     entryId: 'entry-0',
     availabilityZone: 'zone-a',
@@ -46,7 +46,7 @@
     rules: {isZoneOut: () => false},
     limit: {timeoutMs: 5_000, attempts: 3, retryBudgetPercent: 100},
     body: {kind: 'none'},
-    progress: new Progress('request', performance.now() + 5_000, 'entry-0'),
+    progress: new CallContext('request', performance.now() + 5_000, 'entry-0'),
     ...change,
   } as ClassifiedCall;
 }
--- a/tests/balance.spec.ts
+++ b/tests/balance.spec.ts
@@ -1,9 +1,9 @@
 import {
-  chooseTarget,
+  chooseSampledTarget,
   requestCost,
   type RoutedRequest,
   type TargetView,
-} from '../src/policy/balance';
+} from '../src/policy/sampledTargetChoice';
 import {SeededRandom} from '../bench/fuzz/schedule';
 
 const REQ: RoutedRequest = {
@@ -37,7 +37,7 @@
   const random = new SeededRandom(7);
   const result = new Map<string, number>();
   for (let i = 0; i < 1000; i++) {
-    const chosen = chooseTarget(REQ, targets, () => random.next());
+    const chosen = chooseSampledTarget(REQ, targets, () => random.next());
     const id = chosen?.targetId ?? 'none';
     result.set(id, (result.get(id) ?? 0) + 1);
   }
@@ -49,9 +49,9 @@
 
 describe('choice of a target by a sample', () => {
   it('should choose none when every limit is 0', () => {
-    expect(chooseTarget(REQ, [], () => 0)).toBeUndefined();
+    expect(chooseSampledTarget(REQ, [], () => 0)).toBeUndefined();
     const out = [view('a', {limit: 0}), view('b', {limit: 0})];
-    expect(chooseTarget(REQ, out, () => 0)).toBeUndefined();
+    expect(chooseSampledTarget(REQ, out, () => 0)).toBeUndefined();
   });
 
   it.each([
--- a/tests/progress.spec.ts
+++ b/tests/callContext.spec.ts
@@ -1,9 +1,9 @@
-import {Progress} from '../src/core/progress';
+import {CallContext} from '../src/core/callContext';
 import {RefusalError} from '../src/core/refusal';
 
 const TIMEOUT_MS = 30_000;
 
-describe('progress of a call', () => {
+describe('call context', () => {
   beforeEach(() => {
     jest.useFakeTimers();
   });
@@ -16,16 +16,16 @@
   // deadline of its first token still in effect, no other target would be tried
   // and the stream would end, although another could resume it.
   it('should give a resumed stream a new deadline', () => {
-    const progress = new Progress(
+    const progress = new CallContext(
       'r',
       performance.now() + TIMEOUT_MS,
       'entry-1'
     );
     jest.advanceTimersByTime(TIMEOUT_MS + 1);
-    expect(() => progress.assertInTime('route')).toThrow(RefusalError);
-    progress.renew(TIMEOUT_MS);
+    expect(() => progress.assertBeforeDeadline('route')).toThrow(RefusalError);
+    progress.renewDeadline(TIMEOUT_MS);
     expect(progress.remainingMs()).toBe(TIMEOUT_MS);
-    expect(() => progress.assertInTime('route')).not.toThrow();
+    expect(() => progress.assertBeforeDeadline('route')).not.toThrow();
     expect(progress.signal.aborted).toBe(false);
   });
 });
--- a/tests/callerContract.spec.ts
+++ b/tests/callerContract.spec.ts
@@ -1,10 +1,10 @@
 import {readFileSync} from 'node:fs';
 import http from 'node:http';
-import {call, newKey} from '../bench/deployment/callers';
+import {call, newIdempotencyKey} from '../bench/deployment/callers';
 import {exampleOf, runExample} from './fixtures/pageExamples';
 import {digestOf, request, sendBytes} from './fixtures/rawCalls';
 import {StatsdListener} from './fixtures/statsd';
-import {TestSystem, eventually} from './fixtures/system';
+import {TestSystem, eventually} from './fixtures/testSystem';
 
 const MIB = 1024 * 1024;
 const CUSTOMER = {'x-customer': 'harbour'};
@@ -151,7 +151,7 @@
 describe('callers that break the protocol', () => {
   beforeAll(async () => {
     await system.submit({extra: ['limit allocation timeout=2s attempts=3']});
-    await system.inForce();
+    await system.waitForRevision();
   });
 
   it.each([
@@ -191,12 +191,12 @@
   // progress. The caller would read an error as the response to that call, and
   // its "not run" would be false.
   it('should not answer garbage with "not run" while a call is in work', async () => {
-    await system.breakLedgers({kind: 'answerLate', path: '/assign', ms: 500});
-    const key = newKey();
+    await system.setLedgerFault({kind: 'answerLate', path: '/assign', ms: 500});
+    const key = newIdempotencyKey();
     const lines = ['POST /assign HTTP/1.1', 'host: a', 'x-customer: harbour'];
     lines.push(`idempotency-key: ${key}`, 'content-length: 2', '', '{}');
     const ran = eventually('it runs', async () => {
-      return (await system.ledgerRuns(key)) === 1 && 'garbage\r\n\r\n';
+      return (await system.ledgerRunCount(key)) === 1 && 'garbage\r\n\r\n';
     });
     const text = await sendBytes(port, lines.join('\r\n'), ran);
     expect(text).toBe('');
@@ -205,15 +205,15 @@
       return resent.status === 201 && resent;
     });
     expect(JSON.parse(again.body)).toMatchObject({key});
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
   }, 30_000);
 
   it('should not run a call whose body is malformed', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const bytes = `${head('transfer-encoding: chunked', `idempotency-key: ${key}`).replace('/x', '/assign')}zz\r\n`;
     expect(await sendBytes(port, bytes)).not.toContain('HTTP/1.1 2');
     expect((await call(port, '/status')).status).toBe(200);
-    expect(await system.ledgerRuns(key)).toBe(0);
+    expect(await system.ledgerRunCount(key)).toBe(0);
   });
 });
 
--- a/tests/callersPage.spec.ts
+++ b/tests/callersPage.spec.ts
@@ -4,13 +4,13 @@
 import {FakeLedger} from '../fakes/ledger';
 import {REFUSALS} from '../src/core/refusal';
 import {exampleOf, runExample} from './fixtures/pageExamples';
-import {closeTargets, scripted, started} from './fixtures/targets';
+import {runCleanups, startScriptedServer, startFake} from './fixtures/targets';
 
 const PAGE = 'CALLERS.md';
 
 /** Starts a proxy to a port, in place of an entry; returns its URL. */
 async function startProxy(port: number): Promise<string> {
-  const {port: proxyPort} = await scripted((req, res) => {
+  const {port: proxyPort} = await startScriptedServer((req, res) => {
     const {url, method, headers} = req;
     const upstream = http.request(
       {port, path: url, method, headers},
@@ -25,7 +25,7 @@
   return `http://127.0.0.1:${proxyPort}`;
 }
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('the page for callers', () => {
   it('should list every refusal as the code has it', () => {
@@ -45,8 +45,8 @@
   });
 
   it('should resend an assignment under one key of version 7', async () => {
-    const ledger = await started(new FakeLedger());
-    ledger.breakNext({kind: 'closeBeforeRead', times: 1});
+    const ledger = await startFake(new FakeLedger());
+    ledger.injectFault({kind: 'closeBeforeRead', times: 1});
     const url = await startProxy(ledger.port);
     const printed = await runExample(exampleOf(PAGE, 'assign'), url);
     expect(printed).toMatchObject({
@@ -61,7 +61,7 @@
   });
 
   it('should resume a stream whose connection broke', async () => {
-    const engine = await started(new FakeEngine({stepMs: 1}));
+    const engine = await startFake(new FakeEngine({stepMs: 1}));
     const url = await startProxy(engine.port);
     const whole = await runExample(exampleOf(PAGE, 'stream'), url);
     engine.control({kind: 'cutAtToken', token: 11, times: 1});
--- a/tests/cancellation.spec.ts
+++ b/tests/cancellation.spec.ts
@@ -1,4 +1,4 @@
-import {Cancellation, joined} from '../src/core/cancellation';
+import {Cancellation, eitherSignal} from '../src/core/cancellation';
 
 describe('cancellation', () => {
   it('should call each listener once, and none that was removed', () => {
@@ -29,7 +29,7 @@
       // target would go on working.
       const sources = [new Cancellation(), new Cancellation()] as const;
       if (when === 'before') sources[index]?.cancel();
-      const combined = joined(...sources);
+      const combined = eitherSignal(...sources);
       const onAbort = jest.fn();
       combined.addEventListener('abort', onAbort);
       sources[index]?.cancel();
--- a/tests/capacityLoad.spec.ts
+++ b/tests/capacityLoad.spec.ts
@@ -1,8 +1,8 @@
 import type {Announcement, DispatchReport} from '../src/core/wire';
 import {TargetLoad} from '../src/entry/targetLoad';
-import {ANNOUNCED} from './fixtures/announced';
+import {SAMPLE_ANNOUNCEMENT} from './fixtures/sampleAnnouncement';
 
-const BUSY: Announcement = {...ANNOUNCED, outstanding: 2};
+const BUSY: Announcement = {...SAMPLE_ANNOUNCEMENT, outstanding: 2};
 
 /** The load after a response at time 0 reported the target's state. */
 function reported(limit: number): TargetLoad {
@@ -23,7 +23,7 @@
 
 /** The view at a time, with an announcement from long before the report. */
 function viewAt(load: TargetLoad, nowMs: number) {
-  const ages = {arrivedMs: nowMs + 10_000, confirmedMs: 100};
+  const ages = {sinceArrivalMs: nowMs + 10_000, sinceConfirmationMs: 100};
   const externalFields = {prefixTokens: 0, groupStraggle: 1};
   return load.view(BUSY, ages, externalFields, nowMs);
 }
--- a/tests/capacityRules.spec.ts
+++ b/tests/capacityRules.spec.ts
@@ -39,7 +39,7 @@
   /** Polls once for each reply; returns the text of the rules then applied. */
   async poll(...replies: readonly Partial<PollAnswer>[]) {
     this.replies = replies;
-    for (let i = 0; i < replies.length; i++) await this.sync.announceNow();
+    for (let i = 0; i < replies.length; i++) await this.sync.announceLeaving();
     return this.sync.rules?.index.ruleSet.text;
   }
 
@@ -160,7 +160,7 @@
 describe('recent rules of a control instance', () => {
   it('should give a diff from any kept file to the newest', () => {
     const recent = new RecentRules();
-    for (const file of [FIRST, SECOND, THIRD]) recent.note(file);
+    for (const file of [FIRST, SECOND, THIRD]) recent.setCurrent(file);
     const diff = recent.diffFrom(1);
     expect(diff && applyDiff(FIRST, diff)).toEqual(THIRD);
   });
@@ -168,7 +168,7 @@
   it('should give no diff from a file that it never had or no longer keeps', () => {
     const recent = new RecentRules();
     for (let revision = 2; revision <= 70; revision++)
-      recent.note({revision, text: rulesText({revision})});
+      recent.setCurrent({revision, text: rulesText({revision})});
     expect(recent.diffFrom(1)).toBeUndefined();
     expect(recent.diffFrom(5)).toBeUndefined();
     expect(recent.diffFrom(69)).toMatchObject({toRevision: 70});
--- a/tests/coordinator.spec.ts
+++ b/tests/coordinator.spec.ts
@@ -3,7 +3,7 @@
 import {TargetTable} from '../src/cluster/targetTable';
 import type {Site} from '../src/site/site';
 import type {TargetRecord} from '../src/site/announcement';
-import {SILENT} from './logCluster';
+import {SILENT_LOGGER} from './logCluster';
 
 const SITE: Site = {
   version: 1,
@@ -77,7 +77,7 @@
   const table = new TargetTable();
   const coordinator = new Coordinator(
     table,
-    SILENT,
+    SILENT_LOGGER,
     () => nowMs,
     4_000,
     () => undefined
--- a/tests/emulator.spec.ts
+++ b/tests/emulator.spec.ts
@@ -1,8 +1,8 @@
 import {
   Cluster,
-  COLD,
+  COLD_START,
   engineCapacity,
-  OUR_GATE,
+  PRODUCT_GATE,
   SHANNONSIDE,
 } from '../bench/emulator/cluster';
 import {tenCustomers, Workload} from '../bench/emulator/workload';
@@ -13,8 +13,8 @@
     {
       shape: SHANNONSIDE,
       chooser: 'ours',
-      gate: OUR_GATE,
-      entry: {retries: true, gradualReturn: true, answersCarryLoad: false},
+      gate: PRODUCT_GATE,
+      entry: {retries: true, gradualReturn: true, responsesCarryLoad: false},
       maxReportLagMs: 5000,
       seed,
     },
@@ -43,13 +43,13 @@
     run.events.runUntil(10_000);
     run.killZone('zone-b');
     run.events.runUntil(20_000);
-    run.reviveZone('zone-b', COLD);
+    run.reviveZone('zone-b', COLD_START);
     run.events.runUntil(150_000);
     const {failed, refused, answered} = run.recorder.window('all').outcomes;
     expect({failed, refused}).toEqual({failed: 0, refused: 0});
     expect(answered).toBeGreaterThan(1000);
     for (const {gate} of run.inZone('zone-b')) {
-      expect(gate.engine.mostOverBearable).toBeLessThanOrEqual(1);
+      expect(gate.engine.maxLoadRatio).toBeLessThanOrEqual(1);
       expect(gate.lastStartAt).toBeGreaterThan(20_000);
     }
   });
--- a/tests/entryViews.spec.ts
+++ b/tests/entryViews.spec.ts
@@ -5,7 +5,7 @@
 import type {LocateAnswer} from '../src/rpc/messages';
 import {locateTarget} from '../src/sync/locateTarget';
 import {TargetDirectory} from '../src/sync/targetDirectory';
-import {announce} from './fixtures/announcements';
+import {buildAnnouncement} from './fixtures/announcements';
 
 const SIZE = 4;
 const TARGETS = 40;
@@ -36,14 +36,14 @@
 
   receive(targetId: string, change: Partial<Announcement> = {}): void {
     const i = Number(targetId.split('-')[1]);
-    const announcement = announce({
+    const announcement = buildAnnouncement({
       targetId,
       availabilityZone: i % 2 === 0 ? 'zone-a' : 'zone-b',
       seq: ++this.seq,
       ...change,
     });
     const agent = {processId: `agent-${i}`, role: 'agent'} as const;
-    this.members.heard(poll({...agent, announcement}), 0);
+    this.members.handlePoll(poll({...agent, announcement}), 0);
   }
 
   /** What the entry holds after the replies that arrived. */
@@ -53,7 +53,7 @@
 
   queryChanges() {
     const {views, size, zones} = this;
-    const since = this.directory.heldFrom('control-0')?.version;
+    const since = this.directory.cursorFor('control-0')?.version;
     return views.changesFor(poll({subset: size}), since, zones, 0);
   }
 
@@ -150,7 +150,7 @@
     const members = {version: 7, updated: [{targetId: 'planner-1', set: {}}]};
     const answer = {instanceId: 'control-0', bootId: 'b', members};
     directory.apply(answer as unknown as PollAnswer, 0);
-    expect(directory.heldFrom('control-0')?.version).not.toBe(7);
+    expect(directory.cursorFor('control-0')?.version).not.toBe(7);
   });
 
   it('should include all targets of a small pool, also leaving ones', () => {
@@ -189,7 +189,7 @@
 
 describe('a target that the entry does not follow', () => {
   const found = async (seq: number): Promise<LocateAnswer> => ({
-    announcement: announce({seq}),
+    announcement: buildAnnouncement({seq}),
   });
   const none = async (): Promise<LocateAnswer> => ({});
   const unreachable = (): Promise<LocateAnswer> =>
--- a/tests/expertSpread.spec.ts
+++ b/tests/expertSpread.spec.ts
@@ -4,7 +4,7 @@
 const EXPERTS = 72;
 const LIMITS = {
   places: 8,
-  newOnRank: Array.from({length: RANKS}, () => 1),
+  maxNewByRank: Array.from({length: RANKS}, () => 1),
   minGainPerCopy: 0.01,
   maxCopies: 12,
 };
@@ -41,8 +41,8 @@
   it('should move the experts off a slow rank', () => {
     const popularity = demand(i => (i * 31) % EXPERTS);
     const slowness = roundRobin().map((_, rank) => (rank === 4 ? 5 : 1));
-    const newOnRank = slowness.map(() => 3);
-    const limits = {...LIMITS, newOnRank, maxCopies: 24, slowness};
+    const maxNewByRank = slowness.map(() => 3);
+    const limits = {...LIMITS, maxNewByRank, maxCopies: 24, slowness};
     let lists: readonly (readonly number[])[] = roundRobin();
     const before = spreadSkew(lists, popularity, slowness);
     for (let switches = 0; switches < 3; switches++)
--- a/tests/faultHistory.spec.ts
+++ b/tests/faultHistory.spec.ts
@@ -1,8 +1,8 @@
-import {check} from '../bench/faults/check';
+import {findViolations} from '../bench/faults/findViolations';
 import type {
   Accepted,
   CallResult,
-  Disturbed,
+  FaultInterval,
   FaultEvent,
   Ran,
   Sent,
@@ -47,11 +47,11 @@
 }
 
 function disturbed(
-  fault: Disturbed['fault'],
+  fault: FaultInterval['fault'],
   processes: readonly string[],
   fromMs: number,
   toMs: number
-): Disturbed {
+): FaultInterval {
   return {kind: 'disturbed', fault, processes, fromMs, toMs};
 }
 
@@ -258,10 +258,10 @@
 
 describe('check of a fault history', () => {
   it.each(VIOLATIONS)('should report %s', (_name, promise, history) => {
-    expect(check(history).map(one => one.promise)).toEqual([promise]);
+    expect(findViolations(history).map(one => one.promise)).toEqual([promise]);
   });
 
   it.each(ALLOWED)('should allow %s', (_name, history) => {
-    expect(check(history)).toEqual([]);
+    expect(findViolations(history)).toEqual([]);
   });
 });
--- a/tests/fleetPlan.spec.ts
+++ b/tests/fleetPlan.spec.ts
@@ -1,5 +1,5 @@
 import {SeededRandom} from '../bench/fuzz/schedule';
-import {FleetDemand, workByModel} from '../src/policy/fleetDemand';
+import {FleetDemand, demandByModel} from '../src/policy/fleetDemand';
 import {FLEET_DEFAULTS, planFleet} from '../src/policy/fleetPlan';
 import type {FleetView} from '../src/policy/fleetPlan';
 import type {FleetTarget} from '../src/policy/fleetTally';
@@ -231,16 +231,16 @@
   // the same weights back and forth while callers of both models wait.
   it('should rise with load and fall slowly during a pause', () => {
     const levels = new FleetDemand();
-    const busy = workByModel([{model: 'a', outstanding: 8, queued: 500}], 8);
+    const busy = demandByModel([{model: 'a', outstanding: 8, queued: 500}], 8);
     levels.observe(busy, 0);
-    expect(levels.levelsNow().get('a')).toBe(16);
+    expect(levels.smoothedByModel().get('a')).toBe(16);
     expect(levels.settled(4_000)).toBe(false);
     levels.observe(new Map(), 30_000);
     expect(levels.settled(30_000)).toBe(true);
-    expect(levels.levelsNow().get('a')).toBeGreaterThan(14);
+    expect(levels.smoothedByModel().get('a')).toBeGreaterThan(14);
     levels.observe(new Map(), 1_500_000);
-    expect(levels.levelsNow().get('a')).toBeLessThan(1);
+    expect(levels.smoothedByModel().get('a')).toBeLessThan(1);
     levels.observe(busy, 1_590_000);
-    expect(levels.levelsNow().get('a')).toBeGreaterThan(15);
+    expect(levels.smoothedByModel().get('a')).toBeGreaterThan(15);
   });
 });
--- a/tests/fleetViews.spec.ts
+++ b/tests/fleetViews.spec.ts
@@ -3,7 +3,7 @@
 import type {Announcement} from '../src/core/wire';
 import {parseRules} from '../src/rules/parseRules';
 import {RuleIndex} from '../src/rules/ruleIndex';
-import {ANNOUNCED} from './fixtures/announced';
+import {SAMPLE_ANNOUNCEMENT} from './fixtures/sampleAnnouncement';
 
 const RULES = `revision 1 # asked by Aoife
 pool planner engine # asked by Aoife
@@ -20,7 +20,7 @@
 
 function view(state: FleetState, ...changes: Partial<Announcement>[]) {
   const targets = changes.map((change, index) => ({
-    ...ANNOUNCED,
+    ...SAMPLE_ANNOUNCEMENT,
     ...SERVED_MODEL,
     targetId: `t${index}`,
     ...change,
@@ -55,7 +55,7 @@
   it('should halt a rule whose orders failed twice in a row', () => {
     const state = new FleetState();
     const {fence} = state.applyFence({kind: 'fleetFence', holder: 'c1'});
-    const rule = ruleKey(rules().serves('planner')[0]!);
+    const rule = ruleKey(rules().serveRules('planner')[0]!);
     const fail = (id: number) => {
       const change = {targetId: 't0', model: 'llama', version: 'v2', rule};
       state.applyOrder({kind: 'fleetOrder', fence, id, changes: [change]});
--- a/tests/groupLimits.spec.ts
+++ b/tests/groupLimits.spec.ts
@@ -2,7 +2,7 @@
 import type {GroupLoad} from '../src/policy/groupLimits';
 import {GroupLimits} from '../src/policy/groupLimits';
 import {EVEN_OUTLOOK} from '../src/policy/mapOutlook';
-import {fixedPassMs, requestPassMs} from '../src/policy/passLength';
+import {fixedPassMs, passMsPerRequest} from '../src/policy/passDuration';
 
 const RANKS = 32;
 const SLOTS = 7 * RANKS;
@@ -19,7 +19,7 @@
 
 function passMs(running: number, skew: number): number {
   const shape = {engine: ENGINE, ranks: RANKS, skew};
-  return fixedPassMs(ENGINE) + running * requestPassMs(shape);
+  return fixedPassMs(ENGINE) + running * passMsPerRequest(shape);
 }
 
 function group(name: string, change: Partial<GroupLoad>): GroupLoad {
@@ -39,11 +39,11 @@
 function limitsOf(groups: readonly GroupLoad[]) {
   const limits = new GroupLimits();
   const next = (nowMs: number) =>
-    limits.next({
+    limits.update({
       engine: ENGINE,
       goals: {pauseMs: PAUSE_MS, firstEventMs: 403},
       groups,
-      isWhole: true,
+      hasAllReports: true,
       nowMs,
     });
   for (let nowMs = 0; nowMs < 1_000; nowMs += 50) next(nowMs);
@@ -89,11 +89,11 @@
   it('should drop the correction of a removed group', () => {
     const limits = new GroupLimits();
     const next = (groups: readonly GroupLoad[], nowMs: number) =>
-      limits.next({
+      limits.update({
         engine: ENGINE,
         goals: {pauseMs: PAUSE_MS, firstEventMs: 403},
         groups,
-        isWhole: true,
+        hasAllReports: true,
         nowMs,
       });
     const costly = group('g', {running: 100, paceMs: 2 * passMs(100, 1.2)});
@@ -101,11 +101,11 @@
     next([], 1_000);
     const due = {...EVEN_OUTLOOK, skew: 1.2, dueSkew: 3};
     const unseen = group('g', {running: 0, paceMs: 0, outlook: due});
-    const fresh = new GroupLimits().next({
+    const fresh = new GroupLimits().update({
       engine: ENGINE,
       goals: {pauseMs: PAUSE_MS, firstEventMs: 403},
       groups: [unseen],
-      isWhole: true,
+      hasAllReports: true,
       nowMs: 1_050,
     });
     expect(next([unseen], 1_050)).toEqual(fresh);
--- a/tests/orderedRanks.spec.ts
+++ b/tests/groupMapSwitch.spec.ts
@@ -1,12 +1,12 @@
 import {xorshift128plus} from 'pure-rand/generator/xorshift128plus';
-import type {MapLists} from '../src/ports/rankPort';
+import type {GroupExpertMap} from '../src/ports/rankPort';
 import type {OutgoingOrder} from '../src/ranks/switchPhase';
-import {GroupMapSwitch} from '../src/ranks/rankSwitch';
+import {GroupMapSwitch} from '../src/ranks/groupMapSwitch';
 import {FakeRankGroup} from './fixtures/fakeRankGroup';
 
 const RANKS = 5;
 const TICK_MS = 5;
-const INITIAL_LISTS: MapLists = [[[0], [1], [2], [3], [4]]];
+const INITIAL_LISTS: GroupExpertMap = [[[0], [1], [2], [3], [4]]];
 
 function randomOf(seed: number): () => number {
   const generator = xorshift128plus(seed);
@@ -42,7 +42,7 @@
     const lists =
       inUse === undefined || inUse.lists === ''
         ? INITIAL_LISTS
-        : (JSON.parse(inUse.lists) as MapLists);
+        : (JSON.parse(inUse.lists) as GroupExpertMap);
     this.mapSwitch = new GroupMapSwitch(
       RANKS,
       lists,
@@ -68,7 +68,7 @@
       this.send(this.mapSwitch.begin(this.nextMap(), 100, nowMs));
   }
 
-  private nextMap(): MapLists {
+  private nextMap(): GroupExpertMap {
     this.maps++;
     const shift = (this.fence * 7 + this.maps) % RANKS;
     return [Array.from({length: RANKS}, (_, i) => [(i + shift) % RANKS])];
@@ -108,12 +108,14 @@
           },
         });
       if (!isLate) {
-        answerLater(nowMs + TICK_MS, () => target!.take(order, this.fence));
+        answerLater(nowMs + TICK_MS, () =>
+          target!.applyOrder(order, this.fence)
+        );
         continue;
       }
       answerLater(nowMs + 250, () => 'unknown');
       const atMs = nowMs + 2_000 + this.random() * 10_000;
-      const run = () => void target?.take(order, this.fence);
+      const run = () => void target?.applyOrder(order, this.fence);
       this.waiting.push({atMs, run});
     }
   }
@@ -145,11 +147,11 @@
       readsAllReports
     );
   const leaders = [newLeader()];
-  group.advance(TICK_MS);
+  group.advanceClock(TICK_MS);
   const versions = new Set<number>();
   let lastPasses = 0;
   while (group.nowMs < seconds * 1_000) {
-    group.advance(TICK_MS);
+    group.advanceClock(TICK_MS);
     if (random() < 0.002) group.isIdle = !group.isIdle;
     if (group.nowMs > seconds * 800) group.isIdle = false;
     // A new leader takes over; the old one is frozen and may resume later.
@@ -219,7 +221,7 @@
     );
     const phases = new Set<string>();
     while (group.nowMs < 20_000) {
-      group.advance(TICK_MS);
+      group.advanceClock(TICK_MS);
       leader.step(true);
       phases.add(leader.mapSwitch.state.kind);
     }
@@ -255,7 +257,7 @@
     );
     const asked = new Map<string, number>();
     while (group.nowMs < 20_000) {
-      group.advance(TICK_MS);
+      group.advanceClock(TICK_MS);
       leader.step(true);
       const {mapSwitch} = leader;
       const due = mapSwitch.ranksToReport(group.nowMs);
@@ -282,10 +284,10 @@
         false
       );
       while (first.mapSwitch.state.kind !== lost || group.nowMs < 2_000) {
-        group.advance(TICK_MS);
+        group.advanceClock(TICK_MS);
         first.step(true);
       }
-      for (let ms = 0; ms < 300; ms += TICK_MS) group.advance(TICK_MS);
+      for (let ms = 0; ms < 300; ms += TICK_MS) group.advanceClock(TICK_MS);
       const next = new SimulatedLeader(
         group,
         2,
@@ -297,7 +299,7 @@
       const {pass} = group;
       const sinceMs = group.nowMs;
       while (group.pass < pass + 3 && group.nowMs < sinceMs + 5_000) {
-        group.advance(TICK_MS);
+        group.advanceClock(TICK_MS);
         next.step(true);
       }
       expect(group.nowMs - sinceMs).toBeLessThan(450);
--- a/tests/limits.spec.ts
+++ b/tests/limits.spec.ts
@@ -1,9 +1,9 @@
 import {
   concurrencyLimit,
   freshConcurrency,
-  latencyRise,
-  learnLatency,
-  observeLatency,
+  latencyRatio,
+  recordLatency,
+  adjustConcurrency,
   type ConcurrencyState,
 } from '../src/policy/concurrencyLimit';
 import {SeededRandom} from '../bench/fuzz/schedule';
@@ -13,7 +13,7 @@
 describe('retry budget', () => {
   it('should allow exactly the percentage of requests as retries', () => {
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
-    for (let i = 0; i < 200; i++) budget.request();
+    for (let i = 0; i < 200; i++) budget.recordRequest();
     const allowed = Array.from({length: 100}, () => budget.tryRetry(0));
     expect(allowed.filter(Boolean)).toHaveLength(20);
   });
@@ -23,7 +23,7 @@
     // every request could be retried, which would double the load on the targets
     // just as they recover.
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
-    for (let i = 0; i < 1_000_000; i++) budget.request();
+    for (let i = 0; i < 1_000_000; i++) budget.recordRequest();
     const allowed = Array.from({length: 1000}, () => budget.tryRetry(0));
     expect(allowed.filter(Boolean).length).toBeLessThanOrEqual(51);
   });
@@ -39,7 +39,7 @@
 
   it('should allow the replacements after a lost zone, but bound them', () => {
     const budget = new RetryBudget({percent: 10, minPerSecond: 0}, 0);
-    for (let i = 0; i < 200; i++) budget.request();
+    for (let i = 0; i < 200; i++) budget.recordRequest();
     const replaced = Array.from({length: 300}, () => budget.tryReplace(0));
     const allowed = replaced.filter(Boolean).length;
     expect(allowed).toBeGreaterThanOrEqual(66);
@@ -48,7 +48,7 @@
 
   it('should cut accumulated retries when the rule shrinks the budget', () => {
     const budget = new RetryBudget({percent: 50, minPerSecond: 0}, 0);
-    for (let i = 0; i < 1000; i++) budget.request();
+    for (let i = 0; i < 1000; i++) budget.recordRequest();
     budget.configure({percent: 0, minPerSecond: 0});
     expect(budget.tryRetry(0)).toBe(false);
   });
@@ -64,7 +64,7 @@
   let next = state;
   for (let i = 0; i < times; i++) {
     const outstanding = concurrencyLimit(next, BOUNDS);
-    next = observeLatency(next, BOUNDS, {latencyMs, outstanding});
+    next = adjustConcurrency(next, BOUNDS, {latencyMs, outstanding});
   }
   return next;
 }
@@ -104,14 +104,14 @@
     let state = freshConcurrency(BOUNDS);
     for (let i = 0; i < 5000; i++) {
       const latencyMs = 100 * Math.pow(5, 2 * random.next() - 1);
-      state = observeLatency(state, BOUNDS, {latencyMs, outstanding: 32});
+      state = adjustConcurrency(state, BOUNDS, {latencyMs, outstanding: 32});
     }
     expect(concurrencyLimit(state, BOUNDS)).toBe(32);
   });
 
   it('should not grow while it is not utilized', () => {
     const low = {...freshConcurrency(BOUNDS), limit: 8};
-    const idle = observeLatency({...low, samples: 100}, BOUNDS, {
+    const idle = adjustConcurrency({...low, samplesSinceChange: 100}, BOUNDS, {
       latencyMs: 10,
       outstanding: 1,
     });
@@ -120,9 +120,9 @@
 
   it('should record the latency of a ramping target without changing its limit', () => {
     let state = observed(freshConcurrency(BOUNDS), 10, 300);
-    for (let i = 0; i < 2000; i++) state = learnLatency(state, 40);
+    for (let i = 0; i < 2000; i++) state = recordLatency(state, 40);
     expect(concurrencyLimit(state, BOUNDS)).toBe(32);
-    expect(latencyRise(state)).toBeGreaterThan(3);
+    expect(latencyRatio(state)).toBeGreaterThan(3);
   });
 });
 
--- a/tests/logCluster.ts
+++ b/tests/logCluster.ts
@@ -8,7 +8,7 @@
 import type {Logger} from '../src/core/logger';
 import type {Command, CommandResult} from '../src/control/state/command';
 import type {LogLimits, LogPeer} from '../src/control/log/logOptions';
-import {fixedPeers} from '../src/control/log/logOptions';
+import {staticPeers} from '../src/control/log/logOptions';
 import {createReplicatedLog} from '../src/control/log/createReplicatedLog';
 import type {LogStorage} from '../src/control/log/logStorage';
 import type {
@@ -20,7 +20,7 @@
 const ignore = (): undefined => undefined;
 
 /** A logger that discards all lines. */
-export const SILENT = {
+export const SILENT_LOGGER = {
   trace: ignore,
   debug: ignore,
   info: ignore,
@@ -163,10 +163,10 @@
     const others = this.ids.filter(other => other !== id);
     const log = await createReplicatedLog({
       id,
-      peers: fixedPeers(others.map(other => this.link(id, other))),
+      peers: staticPeers(others.map(other => this.link(id, other))),
       dataDir: this.dataDir(id),
       stateMachine: state,
-      logger: SILENT,
+      logger: SILENT_LOGGER,
       random: Math.random,
       onFatal: err => this.fatal.push(err),
       limits: this.limits,
--- a/tests/logCore.spec.ts
+++ b/tests/logCore.spec.ts
@@ -9,7 +9,7 @@
   appendFromLeader,
   noopEntry,
   sentRequests,
-} from './drivenLog';
+} from './drivenCore';
 
 const {electionMaxMs, checkQuorumMs, heartbeatMs} = DEFAULT_TIMING;
 
--- a/tests/logFailures.spec.ts
+++ b/tests/logFailures.spec.ts
@@ -213,7 +213,7 @@
     cluster.storages.set('control-1', new DiskStorage(files, '/data'));
     await cluster.start(...THREE);
     await cluster.whole();
-    files.setFault(operation => {
+    files.setFaultHook(operation => {
       if (operation === 'sync') throw new Error('EIO');
     });
     const stopped = lastValueFrom(cluster.at('control-1').log.status$);
--- a/tests/logFounding.spec.ts
+++ b/tests/logFounding.spec.ts
@@ -8,7 +8,7 @@
   appendFromLeader,
   noopEntry,
   sentRequests,
-} from './drivenLog';
+} from './drivenCore';
 
 const {electionMaxMs} = DEFAULT_TIMING;
 
--- a/tests/logModel.spec.ts
+++ b/tests/logModel.spec.ts
@@ -15,7 +15,9 @@
     expect(sum(history => history.acceptedCount)).toBeGreaterThan(10_000);
     expect(sum(history => history.barrierCount)).toBeGreaterThan(5000);
     expect(sum(history => history.electedCount)).toBeGreaterThan(400);
-    expect(sum(history => history.installedCount)).toBeGreaterThan(200);
-    expect(sum(history => history.replacedCount)).toBeGreaterThan(400);
+    expect(sum(history => history.restoredCount)).toBeGreaterThan(200);
+    expect(sum(history => history.configurationChangeCount)).toBeGreaterThan(
+      400
+    );
   });
 });
--- a/tests/logReplacement.spec.ts
+++ b/tests/logReplacement.spec.ts
@@ -4,14 +4,14 @@
   EMPTY_STATE,
   MEMBER_STATE,
   sentRequests,
-} from './drivenLog';
+} from './drivenCore';
 
 const EVICTION_MS = 8_000;
 const STEP_MS = 200;
 
 /** Makes a the leader, with voter eviction. Only b has replied so far. */
-function startLeader(keepVoters: number, peers: () => readonly string[]) {
-  const voterEviction = {afterMs: EVICTION_MS, keepVoters};
+function startLeader(minVoters: number, peers: () => readonly string[]) {
+  const voterEviction = {silentMs: EVICTION_MS, minVoters};
   const options = {...CORE_OPTIONS, peerIds: peers, voterEviction};
   const log = new DrivenCore(MEMBER_STATE, true, options);
   log.becomeLeader();
--- a/tests/logStorage.spec.ts
+++ b/tests/logStorage.spec.ts
@@ -9,7 +9,7 @@
 } from 'node:fs';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
-import {changed} from '../bench/fuzz/memoryDisk';
+import {applyWrite} from '../bench/fuzz/memoryDisk';
 import {MemoryFiles} from '../bench/fuzz/memoryFiles';
 import {SeededRandom} from '../bench/fuzz/schedule';
 import {NODE_FILES} from '../src/control/log/diskFiles';
@@ -200,15 +200,15 @@
       const files = new MemoryFiles();
       const storage = new DiskStorage(files, '/data');
       await storage.load();
-      files.setFault(operation => {
+      files.setFaultHook(operation => {
         if (operation === failing) throw new Error('EIO or ENOSPC');
       });
       const batch: LogWrite[] = [{kind: 'hardState', hard: HARD}, append(1)];
       await expect(storage.write(batch)).rejects.toBeInstanceOf(StorageError);
-      files.setFault(() => undefined);
-      const operationCount = files.done.length;
+      files.setFaultHook(() => undefined);
+      const operationCount = files.operations.length;
       await expect(storage.write(batch)).rejects.toBeInstanceOf(StorageError);
-      expect(files.done).toHaveLength(operationCount);
+      expect(files.operations).toHaveLength(operationCount);
     }
   );
 
@@ -237,9 +237,9 @@
     );
     expect(possible).toContainEqual(comparableState(found));
     acknowledged = found;
-    const crashAt = files.done.length + random.int(1, 60);
-    files.setFault(() => {
-      if (files.done.length >= crashAt) throw new Error('power lost');
+    const crashAt = files.operations.length + random.int(1, 60);
+    files.setFaultHook(() => {
+      if (files.operations.length >= crashAt) throw new Error('power lost');
     });
     for (;;) {
       unacknowledged = randomWrites(random, acknowledged);
@@ -260,7 +260,7 @@
   writes: readonly LogWrite[]
 ): readonly (DurableState | undefined)[] {
   const states = [from];
-  for (const write of writes) states.push(changed(states.at(-1), write));
+  for (const write of writes) states.push(applyWrite(states.at(-1), write));
   return states;
 }
 
--- a/tests/mapControllers.spec.ts
+++ b/tests/mapControllers.spec.ts
@@ -63,8 +63,8 @@
         ranks: RANKS,
         holder: 'c1',
         initialMap: placeFromScratch(shape, FLAT),
-        marginSteps: 10,
-        maxMarginSteps: 80,
+        marginPasses: 10,
+        maxMarginPasses: 80,
         promiseTimeoutMs: 1000,
         resendMs: 100,
         proposeRetryMs: 500,
@@ -96,9 +96,9 @@
             rank,
             agentBootId: `a${rank}`,
             bootAtMs: performance.now(),
-            quietMs: 100,
-            retryMs: 100,
-            observeMs: 20,
+            maxOrderDelayMs: 100,
+            retryIntervalMs: 100,
+            observeIntervalMs: 20,
           },
           this.engineOf(engine),
           {send: message => this.control.receive(message)},
@@ -114,18 +114,18 @@
     return {
       observe: async () => engine.view(),
       startMap: async order =>
-        void engine.take({kind: 'startEngine', ...order}, false),
+        void engine.apply({kind: 'startEngine', ...order}, false),
       stageExpert: async ({slot, expert}) => {
         if (!this.storeUp) throw new Error('rate limited');
         if (this.storeHangs) await new Promise(() => undefined);
         this.staged.push(`${slot}:${expert}`);
       },
       prepareMap: async (order: PrepareMessage) => {
-        const answer = engine.take({kind: 'prepareEngine', order}, false);
+        const answer = engine.apply({kind: 'prepareEngine', order}, false);
         return answer?.kind === 'prepared' ? answer.result : 'failed';
       },
       decideMap: async order =>
-        void engine.take({kind: 'decideEngine', ...order}, false),
+        void engine.apply({kind: 'decideEngine', ...order}, false),
     };
   }
 
@@ -156,7 +156,7 @@
     const minStep = Math.min(...this.engines.map(engine => engine.step));
     if (!this.engines.every(engine => engine.up && engine.running)) return;
     for (const engine of this.engines.filter(e => e.step === minStep)) {
-      const version = engine.runStep();
+      const version = engine.runPass();
       if (version === undefined) continue;
       const seen = this.versions.get(minStep) ?? new Set<number>();
       this.versions.set(minStep, seen.add(version));
--- a/tests/mapFixtures.ts
+++ b/tests/mapFixtures.ts
@@ -1,6 +1,6 @@
 /** Messages and helpers for the tests of map switches. */
 
-import type {RankAction} from '../src/agent/maps/rankSwitchEvents';
+import type {RankAction} from '../src/agent/maps/rankMapSwitchEvents';
 import type {SwitchAction} from '../src/control/maps/mapSwitchEvents';
 import type {ExpertMap, PrepareMessage} from '../src/core/mapMessages';
 import {versionOf} from '../src/core/mapMessages';
@@ -10,11 +10,11 @@
 /** Group of all messages. */
 export const GROUP = 'g';
 /** The nth map version under a fence. */
-export const V = (fence: number, nth: number) => versionOf(fence, nth);
+export const versionAt = (fence: number, nth: number) => versionOf(fence, nth);
 
 /** A prepare message for a switch at pass 20. */
 export function prepare(fence: number, nth: number): PrepareMessage {
-  const version = V(fence, nth);
+  const version = versionAt(fence, nth);
   return {
     kind: 'prepare',
     group: GROUP,
@@ -27,7 +27,7 @@
 
 /** A decision message. */
 export function decision(fence: number, nth: number, what: 'commit' | 'abort') {
-  const version = V(fence, nth);
+  const version = versionAt(fence, nth);
   return {
     kind: 'decision',
     group: GROUP,
@@ -38,7 +38,7 @@
 }
 
 /** Short names of actions: message kind or refusal reason of sends. */
-export function names(
+export function actionNames(
   actions: readonly (RankAction | SwitchAction)[]
 ): string[] {
   return actions.map(action => {
--- a/tests/mapSwitch.spec.ts
+++ b/tests/mapSwitch.spec.ts
@@ -1,4 +1,4 @@
-import {TO_RANK} from '../src/agent/maps/toRankSchema';
+import {TO_RANK_MESSAGE} from '../src/agent/maps/toRankMessageSchema';
 import {FROM_RANK} from '../src/control/maps/fromRankSchema';
 import {MapState} from '../src/control/maps/mapState';
 import {MapSwitch} from '../src/control/maps/mapSwitch';
@@ -6,7 +6,7 @@
 import type {MapDecisionCommand} from '../src/control/state/command';
 import {fenceOfVersion} from '../src/core/mapMessages';
 import {MAP_MODEL} from '../bench/fuzz/mapModel';
-import {GROUP, MAP, names, prepare, V} from './mapFixtures';
+import {GROUP, MAP, actionNames, prepare, versionAt} from './mapFixtures';
 
 class ControllerFixture {
   readonly state = new MapState();
@@ -15,8 +15,8 @@
     ranks: 2,
     holder: 'c1',
     initialMap: MAP,
-    marginSteps: 10,
-    maxMarginSteps: 40,
+    marginPasses: 10,
+    maxMarginPasses: 40,
     promiseTimeoutMs: 100,
     resendMs: 10,
     proposeRetryMs: 1000,
@@ -36,7 +36,7 @@
     for (const action of actions)
       if (action.kind === 'read') this.reads.push(action.seq);
     for (const action of actions) if (!loseReplies) this.answer(action, nowMs);
-    return names(actions);
+    return actionNames(actions);
   }
 
   private answer(action: SwitchAction, nowMs: number): void {
@@ -59,7 +59,7 @@
 
   promise(rank: number, nth: number, loseReplies = false) {
     const fence = 1;
-    const version = V(fence, nth);
+    const version = versionAt(fence, nth);
     const message = {kind: 'promise', group: GROUP, fence, version, rank};
     return this.event(
       {kind: 'message', message: message as never},
@@ -69,7 +69,7 @@
   }
 
   refuse(reason: string, nth: number) {
-    const version = V(1, nth);
+    const version = versionAt(1, nth);
     const message = {
       kind: 'refusal',
       group: GROUP,
@@ -126,7 +126,11 @@
     control.promise(1, 2, true);
     expect(control.sent).toEqual([]);
     expect(control.event({kind: 'tick'}, 2000, true)).toEqual(['propose']);
-    const decided = {kind: 'decided', version: V(1, 2), result: 'recorded'};
+    const decided = {
+      kind: 'decided',
+      version: versionAt(1, 2),
+      result: 'recorded',
+    };
     expect(control.event(decided as never)).toEqual([
       'decision',
       'decision',
@@ -144,7 +148,8 @@
     const control = ControllerFixture.preparing();
     control.refuse(reason, 2);
     const last = control.proposed.at(-1);
-    const decided = last?.version === V(1, 2) ? last.decision : undefined;
+    const decided =
+      last?.version === versionAt(1, 2) ? last.decision : undefined;
     expect(decided).toBe(expected);
   });
 
@@ -167,7 +172,7 @@
     control.promise(0, 2);
     control.join('a2/0');
     expect(control.proposed.at(-1)?.decision).toBe('abort');
-    const answers = names(control.sent);
+    const answers = actionNames(control.sent);
     expect(answers).toEqual(['decision', 'decision', 'joinAnswer']);
   });
 
@@ -182,7 +187,7 @@
     control.event({kind: 'read', seq: early, maps});
     expect(control.sent).toEqual([]);
     control.event({kind: 'read', seq: early + 1, maps});
-    expect(names(control.sent)).toEqual(['joinAnswer']);
+    expect(actionNames(control.sent)).toEqual(['joinAnswer']);
   });
 
   it('should request a new fence when another controller has one', () => {
@@ -207,7 +212,7 @@
     kind: 'mapDecision',
     group: GROUP,
     fence,
-    version: V(fence, nth),
+    version: versionAt(fence, nth),
     switchStep: 1,
     decision: what,
     slots: [[0], [0]],
@@ -260,16 +265,16 @@
     expect(state.outcome(command(1, 1, 'commit'))).toBe('undecided');
     state.applyFence(fence);
     expect(state.outcome(command(1, 1, 'commit'))).toBe('abort');
-    expect(fenceOfVersion(V(1, 1))).toBe(1);
+    expect(fenceOfVersion(versionAt(1, 1))).toBe(1);
   });
 });
 
 describe('schemas of map messages', () => {
   it.each([
-    ['a prepare', TO_RANK, prepare(1, 1), true],
+    ['a prepare', TO_RANK_MESSAGE, prepare(1, 1), true],
     [
       'a share above 1',
-      TO_RANK,
+      TO_RANK_MESSAGE,
       {...prepare(1, 1), map: {slots: [[0]], shares: [[2]]}},
       false,
     ],
--- a/tests/metrics.spec.ts
+++ b/tests/metrics.spec.ts
@@ -1,9 +1,9 @@
 import {CounterSink} from '../bench/capacity/counterSink';
 import {Metrics} from '../src/core/metrics';
-import {eventually} from './fixtures/system';
-import {closeTargets, later} from './fixtures/targets';
+import {eventually} from './fixtures/testSystem';
+import {runCleanups, onCleanup} from './fixtures/targets';
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('metrics', () => {
   it('should send all counts, the last ones when it closes', async () => {
@@ -11,7 +11,7 @@
     // between two sends. Increases since the last send must not be lost, and
     // those already sent must not be sent again, or dashboards show wrong totals.
     const sink = await CounterSink.start('request.answered');
-    later(async () => sink.close());
+    onCleanup(async () => sink.close());
     const metrics = new Metrics('entry-0', {
       host: '127.0.0.1',
       port: sink.port,
--- a/tests/nodePolicies.spec.ts
+++ b/tests/nodePolicies.spec.ts
@@ -1,10 +1,10 @@
-import {PassPace} from '../src/policy/passPace';
-import {coldRateOf} from '../src/policy/coldRate';
+import {MeasuredPassDuration} from '../src/policy/measuredPassDuration';
+import {coldRateLimit} from '../src/policy/coldRate';
 import {RateWindow} from '../src/policy/rateWindow';
-import type {TargetOption} from '../src/policy/targetChoice';
-import {chooseTarget} from '../src/policy/targetChoice';
+import type {TargetOption} from '../src/policy/permitTargetChoice';
+import {chooseTargetByPermits} from '../src/policy/permitTargetChoice';
 import {TargetHealth} from '../src/policy/targetHealth';
-import {WindowBudget} from '../src/policy/windowBudget';
+import {SlidingRetryBudget} from '../src/policy/slidingRetryBudget';
 
 const NO_TIE = () => 0;
 
@@ -12,9 +12,9 @@
   return {
     id: 'x',
     slots: 8,
-    own: 0,
+    inFlight: 0,
     permits: 8,
-    isNear: true,
+    isInOwnZone: true,
     failureRate: 0,
     latencyMs: 20,
     ...change,
@@ -27,14 +27,17 @@
   it('should keep retries of all nodes within ratio and slack', () => {
     const limits = {ratio: 0.2, slack: 96, windowMs: 10_000};
     const nodes = 7;
-    const budgets = Array.from({length: nodes}, () => new WindowBudget(limits));
+    const budgets = Array.from(
+      {length: nodes},
+      () => new SlidingRetryBudget(limits)
+    );
     const sent: number[] = [];
     let requests = 0;
     for (let nowMs = 0; nowMs < 30_000; nowMs += 20)
       for (const budget of budgets) {
-        budget.request(nowMs);
+        budget.recordRequest(nowMs);
         if (nowMs >= 20_000) requests++;
-        if (budget.tryRepeat(nowMs, nodes)) sent.push(nowMs);
+        if (budget.tryRetry(nowMs, nodes)) sent.push(nowMs);
       }
     const last = sent.filter(atMs => atMs >= 20_000).length;
     expect(last).toBeGreaterThan(0);
@@ -43,9 +46,9 @@
 
   it('should not accumulate retries in quiet times', () => {
     const limits = {ratio: 0, slack: 10, windowMs: 1_000};
-    const budget = new WindowBudget(limits);
+    const budget = new SlidingRetryBudget(limits);
     let taken = 0;
-    for (let i = 0; i < 50; i++) if (budget.tryRepeat(60_000, 1)) taken++;
+    for (let i = 0; i < 50; i++) if (budget.tryRetry(60_000, 1)) taken++;
     expect(taken).toBe(7);
   });
 });
@@ -59,7 +62,7 @@
       const capacity = 8;
       for (const bound of [44, 30]) {
         const rates = Array.from({length: nodes}, (_, i) =>
-          coldRateOf({
+          coldRateLimit({
             bound,
             nodes,
             nodeId: `10.0.${i >> 8}.${i & 255}`,
@@ -80,7 +83,7 @@
   // they become free.
   it('should let a node that holds all permits use half of the bound', () => {
     const all = {bound: 30, nodes: 39, nodeId: 'n', targetId: 't', capacity: 4};
-    expect(coldRateOf({...all, permits: 4})).toBeGreaterThanOrEqual(13);
+    expect(coldRateLimit({...all, permits: 4})).toBeGreaterThanOrEqual(13);
   });
 
   it('should limit sends in every span of a second', () => {
@@ -95,38 +98,43 @@
 
 describe('choice of a target by permits', () => {
   it('should prefer the local zone until its target is fuller by a fifth', () => {
-    const near = option({id: 'near', own: 1});
-    const far = option({id: 'far', isNear: false});
-    expect(chooseTarget([near, far], NO_TIE)?.id).toBe('near');
-    const fuller = option({id: 'near', own: 3});
-    expect(chooseTarget([fuller, far], NO_TIE)?.id).toBe('far');
+    const near = option({id: 'near', inFlight: 1});
+    const far = option({id: 'far', isInOwnZone: false});
+    expect(chooseTargetByPermits([near, far], NO_TIE)?.id).toBe('near');
+    const fuller = option({id: 'near', inFlight: 3});
+    expect(chooseTargetByPermits([fuller, far], NO_TIE)?.id).toBe('far');
   });
 
   // Slots without a permit are used by other nodes: the request would wait there for
   // the whole duration of another one.
   it('should stay within the permits of a target while others have unused ones', () => {
-    const used = option({id: 'used', own: 0, permits: 0});
-    const free = option({id: 'free', own: 2, permits: 3, isNear: false});
-    expect(chooseTarget([used, free], NO_TIE)?.id).toBe('free');
+    const used = option({id: 'used', inFlight: 0, permits: 0});
+    const free = option({
+      id: 'free',
+      inFlight: 2,
+      permits: 3,
+      isInOwnZone: false,
+    });
+    expect(chooseTargetByPermits([used, free], NO_TIE)?.id).toBe('free');
   });
 
   it('should choose the least utilized target when no permit is unused', () => {
-    const busy = option({id: 'busy', own: 3, permits: 3});
-    const less = option({id: 'less', own: 1, permits: 1});
-    expect(chooseTarget([busy, less], NO_TIE)?.id).toBe('less');
+    const busy = option({id: 'busy', inFlight: 3, permits: 3});
+    const less = option({id: 'less', inFlight: 1, permits: 1});
+    expect(chooseTargetByPermits([busy, less], NO_TIE)?.id).toBe('less');
   });
 
   // The target passes its health check, but fails some of its requests.
   it('should avoid a target that fails requests', () => {
     const grey = option({id: 'grey', failureRate: 0.5});
-    const good = option({id: 'good', own: 4});
-    expect(chooseTarget([grey, good], NO_TIE)?.id).toBe('good');
+    const good = option({id: 'good', inFlight: 4});
+    expect(chooseTargetByPermits([grey, good], NO_TIE)?.id).toBe('good');
   });
 
   it('should avoid a target that is several times slower', () => {
     const slow = option({id: 'slow', latencyMs: 160});
-    const rest = ['a', 'b'].map(id => option({id, own: 2}));
-    expect(chooseTarget([slow, ...rest], NO_TIE)?.id).toBe('a');
+    const rest = ['a', 'b'].map(id => option({id, inFlight: 2}));
+    expect(chooseTargetByPermits([slow, ...rest], NO_TIE)?.id).toBe('a');
   });
 });
 
@@ -148,17 +156,17 @@
   // A slow rank caused passes of 400 ms. Between two of them the measured duration
   // was 0, so that nothing limited the passes and all slots were filled.
   it('should stay known until the next pass is due, however long passes are', () => {
-    const pace = new PassPace();
-    pace.note(430, 1_000);
-    expect(pace.paceMs(1_400)).toBe(430);
-    expect(pace.paceMs(1_700)).toBe(0);
+    const pace = new MeasuredPassDuration();
+    pace.recordPause(430, 1_000);
+    expect(pace.durationMs(1_400)).toBe(430);
+    expect(pace.durationMs(1_700)).toBe(0);
   });
 
   it('should show a longer pass as soon as it has ended', () => {
-    const pace = new PassPace();
-    for (let t = 0; t < 1_000; t += 50) pace.note(50, t);
-    expect(pace.paceMs(960)).toBe(50);
-    for (let i = 0; i < 6; i++) pace.note(140, 1_100);
-    expect(pace.paceMs(1_110)).toBe(140);
+    const pace = new MeasuredPassDuration();
+    for (let t = 0; t < 1_000; t += 50) pace.recordPause(50, t);
+    expect(pace.durationMs(960)).toBe(50);
+    for (let i = 0; i < 6; i++) pace.recordPause(140, 1_100);
+    expect(pace.durationMs(1_110)).toBe(140);
   });
 });
--- a/tests/outages.spec.ts
+++ b/tests/outages.spec.ts
@@ -1,7 +1,7 @@
 import {noSiteRetryMs, outageRetryMs} from '../src/policy/outageRetry';
-import {StallWatch} from '../src/policy/stallWatch';
+import {StallDetector} from '../src/policy/stallDetector';
 import type {TargetRecord} from '../src/site/announcement';
-import {groupOpenings, isInOpenGroup} from '../src/site/groupOpenings';
+import {groupStatuses, isInOpenGroup} from '../src/site/groupStatus';
 
 function rank(
   index: number,
@@ -29,7 +29,7 @@
   // second and a half before they fail.
   it('should consider the whole group broken when one rank reports it', () => {
     const records = [rank(0, 1, true), rank(1, 1, false), rank(2, 1, true)];
-    const openings = groupOpenings(records);
+    const openings = groupStatuses(records);
     expect(records.some(one => isInOpenGroup(one, openings))).toBe(false);
   });
 
@@ -37,18 +37,18 @@
   // callers would wait for up to another heartbeat.
   it('should consider the whole group open when one rank reports its new epoch', () => {
     const records = [rank(0, 1, false), rank(1, 2, true), rank(2, 1, false)];
-    const openings = groupOpenings(records);
+    const openings = groupStatuses(records);
     expect(records.every(one => isInOpenGroup(one, openings))).toBe(true);
   });
 
   it('should ignore a rank that is gone', () => {
     const records = [rank(0, 5, true, 'gone'), rank(1, 1, false)];
-    expect(groupOpenings(records).get('g')).toEqual({epoch: 1, isOpen: false});
+    expect(groupStatuses(records).get('g')).toEqual({epoch: 1, isOpen: false});
   });
 
   it('should consider targets without a group open', () => {
     const alone = {...rank(0, 1, false), group: undefined};
-    expect(isInOpenGroup(alone, groupOpenings([alone]))).toBe(true);
+    expect(isInOpenGroup(alone, groupStatuses([alone]))).toBe(true);
   });
 });
 
@@ -74,9 +74,9 @@
 });
 
 describe('detection of a stalled group', () => {
-  function streaming(streams: number): StallWatch {
-    const watch = new StallWatch();
-    for (let i = 0; i < streams; i++) watch.opened();
+  function streaming(streams: number): StallDetector {
+    const watch = new StallDetector();
+    for (let i = 0; i < streams; i++) watch.streamStarted();
     watch.noteEvent(1_000);
     return watch;
   }
@@ -97,8 +97,8 @@
 
   it('should detect no stall once the streams have ended', () => {
     const watch = streaming(2);
-    watch.closed();
-    watch.closed();
+    watch.streamEnded();
+    watch.streamEnded();
     expect(watch.isStalled(9_000)).toBe(false);
   });
 });
--- a/tests/peerKeys.spec.ts
+++ b/tests/peerKeys.spec.ts
@@ -1,11 +1,11 @@
 import {z} from 'zod';
 import {createLogger} from '../src/core/logger';
 import {Metrics} from '../src/core/metrics';
-import {PeerClient, createPeerAgent} from '../src/rpc/peerClient';
+import {PeerClient, createPeerHttpsAgent} from '../src/rpc/peerClient';
 import {PeerServer} from '../src/rpc/peerServer';
-import {closeTargets, later} from './fixtures/targets';
+import {runCleanups, onCleanup} from './fixtures/targets';
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 const HOST = '127.0.0.1';
 const OLD_SECRET = 'the secret until now';
@@ -40,9 +40,9 @@
     handle: (_params, id) => ({id}),
   });
   const port = await peer.listen();
-  later(() => peer.close());
-  const agent = createPeerAgent(client.secret, 'entry-0');
-  later(() => agent.destroy());
+  onCleanup(() => peer.close());
+  const agent = createPeerHttpsAgent(client.secret, 'entry-0');
+  onCleanup(() => agent.destroy());
   const address = {id: 'server', host: HOST, port};
   const reply = new PeerClient(address, agent).call<{id: string}>(
     'who',
--- a/tests/placement.spec.ts
+++ b/tests/placement.spec.ts
@@ -2,7 +2,7 @@
 import type {ExpertMap} from '../src/core/mapMessages';
 import {
   evenShape,
-  loadsNeeded,
+  weightLoadsByRank,
   mapSkew,
   rankLoads,
   withEvenShares,
@@ -13,7 +13,7 @@
   relabelToFewestLoads,
 } from '../src/policy/placementGreedy';
 import {withBestShares} from '../src/policy/placementSplit';
-import {planRebalance, withChanges} from '../src/policy/rebalance';
+import {planRebalance, withChanges} from '../src/policy/rebalanceSearch';
 import {
   decideLoads,
   decideSplit,
@@ -98,7 +98,7 @@
         const plan = planRebalance(even, now, LIMITS);
         expect(plan.skewAfter).toBeLessThanOrEqual(plan.skewBestSplit + 1e-6);
         const changes = plan.moves.flat();
-        const loads = loadsNeeded(even, withChanges(even, changes, now));
+        const loads = weightLoadsByRank(even, withChanges(even, changes, now));
         expect(Math.max(...loads)).toBeLessThanOrEqual(LIMITS.maxLoadsPerRank);
         expect(changes.length).toBeLessThanOrEqual(LIMITS.maxLoads);
       }),
@@ -146,7 +146,7 @@
       shares: order.map(rank => map.shares[rank] ?? []),
     };
     const back = relabelToFewestLoads(map, renumbered);
-    expect(loadsNeeded(map, back).every(loads => loads === 0)).toBe(true);
+    expect(weightLoadsByRank(map, back).every(loads => loads === 0)).toBe(true);
   });
 });
 
--- a/tests/platform/gatewayFixture.ts
+++ b/tests/platform/gatewayFixture.ts
@@ -10,7 +10,7 @@
 import {Gateway} from '../../src/gateway/gateway';
 import {serveRequest} from '../../src/gateway/serveRequest';
 import {SiteIndex} from '../../src/site/siteIndex';
-import type {Repeat, SiteRoute} from '../../src/site/site';
+import type {RetrySemantics, SiteRoute} from '../../src/site/site';
 
 const SILENT_LOGGER = {
   trace: () => undefined,
@@ -45,7 +45,10 @@
   );
 }
 
-function route(repeat: Repeat, overrides: Partial<SiteRoute>): SiteRoute {
+function route(
+  repeat: RetrySemantics,
+  overrides: Partial<SiteRoute>
+): SiteRoute {
   return {
     name: repeat,
     host: 'a.example',
--- a/tests/platform/nodes.spec.ts
+++ b/tests/platform/nodes.spec.ts
@@ -7,8 +7,8 @@
 import net from 'node:net';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
-import {eventually} from '../fixtures/system';
-import {PAGE_EXAMPLE, renderSettings} from './platformSettings';
+import {eventually} from '../fixtures/testSystem';
+import {EXAMPLE_VALUES, renderTemplate} from './platformSettings';
 
 const APP = path.join(__dirname, '..', '..', 'dist', 'marlpulley-app.cjs');
 const OK = 200;
@@ -73,8 +73,8 @@
   start(ip: string, isFirstStart: boolean, hasDisk = true): void {
     const {callers, ready, control, internal} = this.ports;
     const file = path.join(this.root, `${ip}.ini`);
-    const settings = renderSettings({
-      ...PAGE_EXAMPLE,
+    const settings = renderTemplate({
+      ...EXAMPLE_VALUES,
       node: `node-${ip}`,
       ip,
       zone: 'a',
--- a/tests/platform/platformSettings.ts
+++ b/tests/platform/platformSettings.ts
@@ -6,7 +6,7 @@
 const TEMPLATE = path.join(__dirname, '..', '..', 'deploy', 'node.ini');
 
 /** Example values, by the variable names that the platform's documentation gives. */
-export const PAGE_EXAMPLE = {
+export const EXAMPLE_VALUES = {
   node: 'front-ie-south-a-1',
   zone: 'ie-south-a',
   ip: '10.1.0.40',
@@ -28,7 +28,7 @@
 };
 
 /** Fills in the template; variables without a value become empty. */
-export function renderSettings(
+export function renderTemplate(
   values: Readonly<Record<string, string>>
 ): string {
   const template = readFileSync(TEMPLATE, 'utf8');
--- a/tests/platform/settingsTemplate.spec.ts
+++ b/tests/platform/settingsTemplate.spec.ts
@@ -2,7 +2,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {loadNodeSettings} from '../../src/settings/loadSettings';
-import {PAGE_EXAMPLE, renderSettings} from './platformSettings';
+import {EXAMPLE_VALUES, renderTemplate} from './platformSettings';
 
 describe('settings template of the platform', () => {
   const dir = mkdtempSync(path.join(tmpdir(), 'marlpulley-settings-'));
@@ -10,7 +10,7 @@
   afterAll(() => rmSync(dir, {recursive: true}));
 
   function load(change: Readonly<Record<string, string>> = {}) {
-    writeFileSync(file, renderSettings({...PAGE_EXAMPLE, ...change}));
+    writeFileSync(file, renderTemplate({...EXAMPLE_VALUES, ...change}));
     return loadNodeSettings(file);
   }
 
--- a/tests/popularity.spec.ts
+++ b/tests/popularity.spec.ts
@@ -21,7 +21,7 @@
 describe('popularity of experts', () => {
   it('should expect equal shares before the first sample', () => {
     const estimate = new PopularityEstimate(4);
-    expect(estimate.known).toBe(false);
+    expect(estimate.hasSamples).toBe(false);
     expect(estimate.predict(0)).toEqual([0.25, 0.25, 0.25, 0.25]);
   });
 
@@ -57,6 +57,6 @@
   ])('should ignore a sample of %s', (_, counts) => {
     const estimate = new PopularityEstimate(2);
     estimate.add({atMs: 0, counts});
-    expect(estimate.known).toBe(false);
+    expect(estimate.hasSamples).toBe(false);
   });
 });
--- a/tests/processes/control.spec.ts
+++ b/tests/processes/control.spec.ts
@@ -1,7 +1,7 @@
 import {rmSync} from 'node:fs';
-import {assign, chat, newKey} from '../../bench/deployment/callers';
+import {assign, chat, newIdempotencyKey} from '../../bench/deployment/callers';
 import {rulesText} from '../../bench/deployment/rulesText';
-import {TestSystem, eventually} from '../fixtures/system';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const REVISIONS_MISSED = 200;
 
@@ -22,7 +22,7 @@
   // all accepted commands, so operators and callers see a short pause at most.
   // A client that regards control as down because its leader is would fail.
   it('should lose nothing when the leader is killed', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const before = await assign(system.port(0), key, 1);
     expect(before.status).toBe(201);
     const old = await system.leader();
@@ -30,10 +30,12 @@
     expect(await system.submit()).toMatchObject({kind: 'accepted'});
     const again = await assign(system.port(1), key, 1);
     expect([again.status, again.body]).toEqual([201, before.body]);
-    expect((await assign(system.port(1), newKey(), 2)).status).toBe(201);
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect((await assign(system.port(1), newIdempotencyKey(), 2)).status).toBe(
+      201
+    );
+    expect(await system.ledgerRunCount(key)).toBe(1);
     await system.deployment.restart(old);
-    await system.inForce();
+    await system.waitForRevision();
   }, 30_000);
 
   // A zone goes out of service while the leader is frozen. When it resumes, it
@@ -45,7 +47,7 @@
     frozen.kill('SIGSTOP');
     const answer = await system.submit({zonesOut: ['zone-b']});
     expect(answer).toMatchObject({kind: 'accepted'});
-    await system.inForce();
+    await system.waitForRevision();
     frozen.kill('SIGCONT');
     const zones: (string | undefined)[] = [];
     await eventually('the resumed instance is up to date', async () => {
@@ -67,7 +69,7 @@
   // complete instances dies. All accepted commands must still be there without
   // any repair by an operator.
   it('should rejoin after a lost disk and survive a second failure', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const first = await assign(system.port(0), key, 3);
     const leader = await system.leader();
     const names = ['control-0', 'control-1', 'control-2'];
@@ -83,9 +85,9 @@
     expect(await system.submit()).toMatchObject({kind: 'accepted'});
     const again = await assign(system.port(1), key, 3);
     expect([again.status, again.body]).toEqual([201, first.body]);
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
     await system.deployment.restart(leader);
-    await system.inForce();
+    await system.waitForRevision();
   }, 45_000);
 
   // Hundreds of rule files are accepted while one instance and one entry are
@@ -100,8 +102,8 @@
     await system.submit({zonesOut: ['zone-b']});
     await system.deployment.restart(behind);
     await system.deployment.restart('entry-1');
-    await system.inForce();
-    await system.serving(1);
+    await system.waitForRevision();
+    await system.waitForChat(1);
     const {target} = await chat(system.port(1), 'behind', 1, false);
     expect(zoneOf(target)).toBe('zone-a');
     await eventually('the instance has caught up', async () => {
@@ -129,14 +131,14 @@
         200
       );
     }
-    const claimed = await assign(system.port(1), newKey(), 6);
+    const claimed = await assign(system.port(1), newIdempotencyKey(), 6);
     expect([claimed.reason, claimed.outcome]).toEqual([
       'control-unavailable',
       'not run',
     ]);
     await Promise.all(names.map(name => system.deployment.restart(name)));
     expect(await system.submit()).toMatchObject({kind: 'accepted'});
-    await system.inForce();
+    await system.waitForRevision();
   }, 60_000);
 
   // An entry and the agents of a zone are frozen with calls in their sockets,
@@ -144,7 +146,7 @@
   // read those calls while their rules still have the zone in service.
   it('should start nothing in a zone that went out while they were frozen', async () => {
     await system.submit();
-    await system.inForce();
+    await system.waitForRevision();
     await eventually('zone-b serves', async () => {
       const {status, target} = await chat(system.port(0), 'b', 1, false);
       return status === 200 && zoneOf(target) === 'zone-b';
@@ -170,7 +172,7 @@
       else expect(outcome).toBe('not run');
     }
     expect(await countRuns(inZone.map(one => one.fakePort))).toBe(before);
-    await system.inForce();
+    await system.waitForRevision();
   }, 45_000);
 });
 
@@ -226,7 +228,7 @@
     await system.submit({zonesOut: ['zone-b']});
     await system.submit();
     await system.submit({zonesOut: ['zone-b']});
-    await system.inForce();
+    await system.waitForRevision();
     const answers = await Promise.all(
       Array.from({length: 12}, (_, i) =>
         chat(system.port(i % 2), `last ${i}`, 2, false)
@@ -249,7 +251,7 @@
 /** Total number of requests that these engines have run. */
 async function countRuns(ports: readonly number[]): Promise<number> {
   const states = await Promise.all(
-    ports.map(port => system.fake(port, 'state'))
+    ports.map(port => system.callFake(port, 'state'))
   );
   return states
     .flatMap(state => Object.values(state['runsByRequest'] as object))
--- a/tests/processes/expertMaps.spec.ts
+++ b/tests/processes/expertMaps.spec.ts
@@ -1,6 +1,6 @@
 import {chat} from '../../bench/deployment/callers';
 import {SMALL} from '../../bench/deployment/shape';
-import {TestSystem, eventually} from '../fixtures/system';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const RANKS = 4;
 const GROUP_ARGS = ['--step-ms', '10', '--experts', '16', '--spare-slots', '4'];
@@ -25,14 +25,14 @@
   } as const;
   system = await TestSystem.start({pools: [...pools, group]});
   await system.submit(RULES);
-  await system.inForce();
+  await system.waitForRevision();
 }, 60_000);
 afterAll(() => system.stop());
 
 async function readMapHistories(): Promise<readonly (readonly MapSpan[])[]> {
   const ports = system.fakePorts('planner');
   const states = await Promise.all(
-    ports.map(port => system.fake(port, 'state'))
+    ports.map(port => system.callFake(port, 'state'))
   );
   return states.map(state => state['mapHistory'] as readonly MapSpan[]);
 }
--- a/tests/processes/fleet.spec.ts
+++ b/tests/processes/fleet.spec.ts
@@ -1,6 +1,6 @@
 import {call} from '../../bench/deployment/callers';
 import {SMALL} from '../../bench/deployment/shape';
-import {TestSystem, eventually} from '../fixtures/system';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const ENGINES = {
   pool: 'planner',
@@ -79,7 +79,7 @@
   it('should change a target while the leader dies, unnoticed by callers', async () => {
     await system.submit({extra: [SERVE_PLANNER, SERVE_LLAMA_ON_ONE]});
     // A target refuses calls under a revision that it does not have yet.
-    await system.inForce();
+    await system.waitForRevision();
     const stop = startCalling('planner');
     await eventually('a load', async () => (await targetsHolding('llama'))[0]);
     await system.deployment.child(await system.leader()).end('SIGKILL');
@@ -97,7 +97,7 @@
   it('should complete an order whose agent restarted meanwhile', async () => {
     const before = await targetsHolding('llama');
     await system.submit({extra: [SERVE_PLANNER, SERVE_LLAMA_ON_TWO]});
-    await system.inForce();
+    await system.waitForRevision();
     const stop = startCalling('llama');
     const target = await eventually('another load', async () =>
       (await targetsHolding('llama')).find(name => !before.includes(name))
@@ -110,7 +110,7 @@
     const {fakePort} = system.deployment.targets.find(
       one => one.targetId === target
     )!;
-    const {orders} = await system.fake(fakePort, 'state');
+    const {orders} = await system.callFake(fakePort, 'state');
     expect(orders).toHaveLength(1);
   }, 60_000);
 });
--- a/tests/processes/onceCalls.spec.ts
+++ b/tests/processes/onceCalls.spec.ts
@@ -1,5 +1,5 @@
-import {assign, newKey} from '../../bench/deployment/callers';
-import {TestSystem, eventually} from '../fixtures/system';
+import {assign, newIdempotencyKey} from '../../bench/deployment/callers';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 let system: TestSystem;
 
@@ -18,7 +18,7 @@
 
 /** Starts an assignment that takes the ledger 1.5 s; resolves once it runs. */
 async function startSlowAssignment(entry: number, key: string) {
-  await system.breakLedgers({
+  await system.setLedgerFault({
     kind: 'answerLate',
     path: '/assign',
     ms: 1500,
@@ -28,7 +28,7 @@
   const findRunning = async () => {
     for (const target of system.deployment.targets) {
       if (target.pool !== 'allocation') continue;
-      const {runsByKey} = await system.fake(target.fakePort, 'state');
+      const {runsByKey} = await system.callFake(target.fakePort, 'state');
       if ((runsByKey as Record<string, number>)[key]) return target.targetId;
     }
     return undefined;
@@ -60,13 +60,13 @@
   it.each(LEDGER_FAULTS)(
     'should run no call twice when the ledger does $kind',
     async ({kind, expectedRuns, firstReason}) => {
-      const key = newKey();
-      await system.breakLedgers({kind, path: '/assign', ms: 300, times: 1});
+      const key = newIdempotencyKey();
+      await system.setLedgerFault({kind, path: '/assign', ms: 300, times: 1});
       const answers = [];
       for (const entry of [0, 1, 0])
         answers.push(await assign(system.port(entry), key, 8));
       expect(answers[0]!.reason).toBe(firstReason);
-      expect(await system.ledgerRuns(key)).toBe(expectedRuns);
+      expect(await system.ledgerRunCount(key)).toBe(expectedRuns);
       const claimedNotRun = answers.filter(one => one.outcome === 'not run');
       expect(claimedNotRun).toEqual([]);
       const bodies = answers.map(one => one.reason || one.body);
@@ -80,7 +80,7 @@
   // knows the outcome, so every resend gets "outcome unknown", also after the
   // agent has restarted with a new boot id, and the ledger runs the call once.
   it('should say that the outcome is unknown when the agent is killed', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const {answer, targetId} = await startSlowAssignment(0, key);
     await system.deployment.child(`agent-${targetId}`).end('SIGKILL');
     expect((await answer)?.outcome).toBe('outcome unknown');
@@ -91,7 +91,7 @@
       return resent.reason === 'outcome-unknown' && resent;
     });
     expect(again.status).toBe(502);
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
     await clearFaults();
   }, 45_000);
 
@@ -99,7 +99,7 @@
   // the call. The agent still receives the response, and a resend through the
   // other entry gets it.
   it('should give the answer to a resend when the entry is killed', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const {answer} = await startSlowAssignment(0, key);
     await system.deployment.child('entry-0').end('SIGKILL');
     expect(await answer).toBeUndefined();
@@ -108,20 +108,20 @@
       return resent.status === 201 && resent;
     });
     expect(JSON.parse(again.body)).toMatchObject({key});
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
     await system.deployment.restart('entry-0');
-    await system.serving(0);
+    await system.waitForChat(0);
     await clearFaults();
   }, 45_000);
 
   // Both entries receive the same key several times at once, as from a load
   // balancer in front of them that repeats requests.
   it('should run one of many sendings at once', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const answers = await Promise.all(
       Array.from({length: 8}, (_, i) => assign(system.port(i % 2), key, 4))
     );
     expect(new Set(answers.map(one => one.body)).size).toBe(1);
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
   });
 });
--- a/tests/processes/partition.spec.ts
+++ b/tests/processes/partition.spec.ts
@@ -1,5 +1,5 @@
-import {assign, chat, newKey} from '../../bench/deployment/callers';
-import {TestSystem, eventually} from '../fixtures/system';
+import {assign, chat, newIdempotencyKey} from '../../bench/deployment/callers';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const ISOLATED_PROCESSES = ['control-0', 'entry-0', 'agent-planner-0'];
 const OTHER_PROCESSES = ['entry-1', 'agent-planner-1', 'agent-planner-2'];
@@ -7,7 +7,7 @@
 let system: TestSystem;
 
 beforeAll(async () => {
-  system = await TestSystem.start({island: ISOLATED_PROCESSES});
+  system = await TestSystem.start({isolatedProcesses: ISOLATED_PROCESSES});
 }, 60_000);
 afterAll(() => system.stop());
 
@@ -31,8 +31,8 @@
  */
 async function healAndWait(): Promise<void> {
   system.deployment.heal();
-  await system.inForce();
-  await system.serving(0);
+  await system.waitForRevision();
+  await system.waitForChat(0);
 }
 
 describe('a control instance that is silently cut off', () => {
@@ -45,7 +45,7 @@
     expect(await system.submit({zonesOut: ['zone-a']})).toMatchObject({
       kind: 'accepted',
     });
-    await system.inForce(system.revision, OTHER_PROCESSES);
+    await system.waitForRevision(system.revision, OTHER_PROCESSES);
     await waitForUnprovenRefusal(0);
     const answers = await Promise.all(
       Array.from({length: 8}, (_, i) =>
@@ -61,7 +61,7 @@
       processes.map(() => system.revision)
     );
     await system.submit();
-    await system.inForce();
+    await system.waitForRevision();
   }, 45_000);
 
   // Requests get through and replies do not, or the other way round. Either way
@@ -83,17 +83,17 @@
   // A call that may run at most once is claimed through the isolated entry. No
   // quorum can be reached, so it is refused as "not run", and it must not run.
   it('should refuse a claim that no quorum can agree on, and not run it', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     system.deployment.cut();
     const refused = await assign(system.port(0), key, 5);
     expect(refused.outcome).toBe('not run');
-    expect(await system.ledgerRuns(key)).toBe(0);
+    expect(await system.ledgerRunCount(key)).toBe(0);
     const served = await assign(system.port(1), key, 5);
     expect(served.status).toBe(201);
     await healAndWait();
     // The recorded response is returned even while the entry knows no service.
     const again = await assign(system.port(0), key, 5);
     expect([again.status, again.body]).toEqual([201, served.body]);
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
   }, 45_000);
 });
--- a/tests/processes/shutdown.spec.ts
+++ b/tests/processes/shutdown.spec.ts
@@ -4,10 +4,10 @@
   assign,
   chat,
   isExactStream,
-  newKey,
+  newIdempotencyKey,
 } from '../../bench/deployment/callers';
 import {openStream} from '../fixtures/openStream';
-import {TestSystem, eventually} from '../fixtures/system';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const STREAM_TOKENS = 400;
 const LOAD_CLIENTS = 4;
@@ -39,7 +39,7 @@
     return known?.state === 'serving' && known.limit > 0;
   });
   await system.submit();
-  await system.inForce();
+  await system.waitForRevision();
 }
 
 /** Sends calls from several clients, each one after another, until stopped. */
@@ -131,7 +131,7 @@
       const send = (i: number) =>
         pool === 'planner'
           ? chat(system.port(i % 2), `leave ${i}`, 4, false)
-          : assign(system.port(i % 2), newKey(), i);
+          : assign(system.port(i % 2), newIdempotencyKey(), i);
       const {answers, stop} = startLoad(send);
       await eventually('load', async () => answers.length > 20);
       const agent = system.deployment.child(`agent-${pool}-0`);
@@ -179,7 +179,7 @@
     agent.destroy();
     for (const i of [0, 1]) {
       await system.deployment.restart(`entry-${i}`);
-      await system.serving(i);
+      await system.waitForChat(i);
     }
   }, 45_000);
 
--- a/tests/processes/twoFaults.spec.ts
+++ b/tests/processes/twoFaults.spec.ts
@@ -4,19 +4,19 @@
   assign,
   chat,
   isExactStream,
-  newKey,
+  newIdempotencyKey,
 } from '../../bench/deployment/callers';
 import {readRecord} from '../../fakes/runRecord';
 import type {CutDirection} from '../../bench/deployment/cutRelay';
 import {openStream} from '../fixtures/openStream';
-import {TestSystem, eventually} from '../fixtures/system';
+import {TestSystem, eventually} from '../fixtures/testSystem';
 
 const STREAM_TOKENS = 400;
 
 let system: TestSystem;
 
 beforeAll(async () => {
-  system = await TestSystem.start({linked: true});
+  system = await TestSystem.start({usesRelays: true});
 }, 60_000);
 afterAll(() => system.stop());
 
@@ -59,7 +59,7 @@
 async function restartAndWait(...names: readonly string[]): Promise<void> {
   await Promise.all(names.map(name => system.deployment.restart(name)));
   await system.submit();
-  await system.inForce();
+  await system.waitForRevision();
   await eventually('all targets serve', async () => {
     const {targets} = await system.status();
     return (
@@ -91,11 +91,11 @@
   // It must not run again; a resend through the other entry, which still reaches
   // the agent, gets the recorded response.
   it('should run an assignment once when its answer is lost in the cut', async () => {
-    const key = newKey();
+    const key = newIdempotencyKey();
     const slow = {kind: 'answerLate', path: '/assign', ms: 500, times: 1};
-    await system.breakLedgers(slow);
+    await system.setLedgerFault(slow);
     const first = assign(system.port(0), key, 3);
-    await eventually('the run', async () => await system.ledgerRuns(key));
+    await eventually('the run', async () => await system.ledgerRunCount(key));
     cutFrom('entry-0', 'agent-allocation', 'to client');
     const again = await eventually('the recorded answer', async () => {
       const resent = await assign(system.port(1), key, 3);
@@ -104,7 +104,7 @@
     expect(JSON.parse(again.body)).toMatchObject({key});
     system.deployment.links.heal();
     expect((await first).outcome).not.toBe('not run');
-    expect(await system.ledgerRuns(key)).toBe(1);
+    expect(await system.ledgerRunCount(key)).toBe(1);
   }, 45_000);
 });
 
@@ -163,7 +163,7 @@
       answers.push(
         client < 2
           ? await chat(port, `load ${i}`, 4, false)
-          : await assign(port, newKey(), i)
+          : await assign(port, newIdempotencyKey(), i)
       );
   });
   const stop = async () => {
@@ -205,7 +205,7 @@
   );
   let last = -1;
   return eventually('the target is idle', async () => {
-    const {concurrent} = await system.fake(target!.fakePort, 'state');
+    const {concurrent} = await system.callFake(target!.fakePort, 'state');
     const runs = runCount(targetId);
     const isIdle = concurrent === 0 && runs === last;
     last = runs;
--- a/tests/capacityMembers.spec.ts
+++ b/tests/publishedAnnouncements.spec.ts
@@ -1,6 +1,6 @@
 import {MemberTable} from '../src/control/memberTable';
 import type {Announcement, PollRequest} from '../src/core/wire';
-import {ANNOUNCED} from './fixtures/announced';
+import {SAMPLE_ANNOUNCEMENT} from './fixtures/sampleAnnouncement';
 
 function poll(change: Partial<Announcement>): PollRequest {
   return {
@@ -9,21 +9,21 @@
     bootId: 'process-1',
     heldRevision: 1,
     availabilityZone: 'zone-a',
-    announcement: {...ANNOUNCED, ...change},
+    announcement: {...SAMPLE_ANNOUNCEMENT, ...change},
   };
 }
 
 /** A table that received one announcement at time 0, and its version then. */
 function afterFirstPoll() {
   const table = new MemberTable();
-  table.heard(poll({}), 0);
+  table.handlePoll(poll({}), 0);
   return {table, version: table.changesSince(undefined).version};
 }
 
 describe('announcements published to entries', () => {
   it('should publish nothing when only sequence number and load age grew', () => {
     const {table, version} = afterFirstPoll();
-    table.heard(poll({seq: 2, loadAgeMs: 80}), 10_000);
+    table.handlePoll(poll({seq: 2, loadAgeMs: 80}), 10_000);
     expect(table.changesSince(version)).toMatchObject({version, changed: []});
   });
 
@@ -34,7 +34,7 @@
     ['a new boot', {agentBootId: 'boot-2', agentBootAtMs: 2}],
   ] as const)('should publish %s at once', (_, change) => {
     const {table, version} = afterFirstPoll();
-    table.heard(poll({seq: 2, ...change}), 1);
+    table.handlePoll(poll({seq: 2, ...change}), 1);
     expect(table.changesSince(version).changed).toMatchObject([change]);
   });
 
@@ -43,16 +43,16 @@
     // second after the last published announcement and then stays the same, so
     // no later change would publish it.
     const {table, version} = afterFirstPoll();
-    table.heard(poll({seq: 2, outstanding: 9}), 500);
+    table.handlePoll(poll({seq: 2, outstanding: 9}), 500);
     expect(table.changesSince(version).changed).toEqual([]);
-    table.heard(poll({seq: 3, outstanding: 9}), 1_000);
+    table.handlePoll(poll({seq: 3, outstanding: 9}), 1_000);
     expect(table.changesSince(version).changed).toMatchObject([
       {outstanding: 9},
     ]);
     const publishedVersion = table.changesSince(undefined).version;
-    table.heard(poll({seq: 4, outstanding: 8}), 5_000);
+    table.handlePoll(poll({seq: 4, outstanding: 8}), 5_000);
     expect(table.changesSince(publishedVersion).changed).toEqual([]);
-    table.heard(poll({seq: 5, outstanding: 8}), 6_000);
+    table.handlePoll(poll({seq: 5, outstanding: 8}), 6_000);
     expect(table.changesSince(publishedVersion).changed).toMatchObject([
       {outstanding: 8},
     ]);
@@ -67,18 +67,18 @@
     'should publish a change of %s only above the threshold',
     (_, change, expected) => {
       const {table, version} = afterFirstPoll();
-      table.heard(poll({seq: 2, ...change}), 60_000);
+      table.handlePoll(poll({seq: 2, ...change}), 60_000);
       expect(table.changesSince(version).changed).toMatchObject(expected);
     }
   );
 
   it('should publish whether a target is warm, but not its progress', () => {
     const {table} = afterFirstPoll();
-    table.heard(poll({seq: 2, temperature: 'cold'}), 1);
+    table.handlePoll(poll({seq: 2, temperature: 'cold'}), 1);
     const {version} = table.changesSince(undefined);
-    table.heard(poll({seq: 3, temperature: 'warming'}), 60_000);
+    table.handlePoll(poll({seq: 3, temperature: 'warming'}), 60_000);
     expect(table.changesSince(version).changed).toEqual([]);
-    table.heard(poll({seq: 4, temperature: 'warm'}), 60_001);
+    table.handlePoll(poll({seq: 4, temperature: 'warm'}), 60_001);
     expect(table.changesSince(version).changed).toHaveLength(1);
   });
 
@@ -87,7 +87,7 @@
     // change, so an entry that was sent a load in between would keep it for
     // good.
     const {table} = afterFirstPoll();
-    table.heard(poll({seq: 2, outstanding: 3}), 500);
+    table.handlePoll(poll({seq: 2, outstanding: 3}), 500);
     expect(table.changesSince(undefined).changed).toMatchObject([
       {outstanding: 0},
     ]);
--- a/tests/rankSwitch.spec.ts
+++ b/tests/rankMapSwitch.spec.ts
@@ -1,7 +1,14 @@
-import type {EngineView} from '../src/agent/maps/rankSwitchEvents';
-import {RankSwitch} from '../src/agent/maps/rankSwitch';
+import type {EngineView} from '../src/agent/maps/rankMapSwitchEvents';
+import {RankMapSwitch} from '../src/agent/maps/rankMapSwitch';
 import type {PrepareMessage} from '../src/core/mapMessages';
-import {decision, GROUP, MAP, names, prepare, V} from './mapFixtures';
+import {
+  decision,
+  GROUP,
+  MAP,
+  actionNames,
+  prepare,
+  versionAt,
+} from './mapFixtures';
 
 const QUIET_MS = 100;
 
@@ -9,36 +16,36 @@
   bootId: 'e1',
   running: true,
   step: 10,
-  mapVersion: V(2, 1),
+  mapVersion: versionAt(2, 1),
 };
 
 class RankFixture {
-  readonly machine = new RankSwitch({
+  readonly machine = new RankMapSwitch({
     group: GROUP,
     rank: 3,
     agentBootId: 'a1',
     bootAtMs: 0,
-    quietMs: QUIET_MS,
-    retryMs: 10,
+    maxOrderDelayMs: QUIET_MS,
+    retryIntervalMs: 10,
   });
 
   view(view: EngineView) {
-    return names(this.machine.handle({kind: 'engine', view}, 0));
+    return actionNames(this.machine.handle({kind: 'engine', view}, 0));
   }
 
   tick(nowMs: number) {
-    return names(this.machine.handle({kind: 'tick'}, nowMs));
+    return actionNames(this.machine.handle({kind: 'tick'}, nowMs));
   }
 
   message(message: Parameters<typeof this.machine.handle>[0] & object) {
-    return names(this.machine.handle(message, 0));
+    return actionNames(this.machine.handle(message, 0));
   }
 
   receive(message: PrepareMessage | ReturnType<typeof decision>) {
     return this.message({kind: 'message', message});
   }
 
-  join(attempt: string, fence = 2, current = V(2, 1)) {
+  join(attempt: string, fence = 2, current = versionAt(2, 1)) {
     const map = {version: current, switchStep: 5, map: MAP};
     return this.message({
       kind: 'message',
@@ -53,7 +60,7 @@
   }
 
   prepared(nth: number, result: 'held' | 'passed' | 'failed', bootId = 'e1') {
-    const version = V(2, nth);
+    const version = versionAt(2, nth);
     return this.message({kind: 'prepared', bootId, version, result});
   }
 
@@ -101,7 +108,7 @@
   // would undo a promise on which control may already have based its decision.
   it('should refuse orders after a restart until control has replied', () => {
     const rank = new RankFixture();
-    rank.view({...VIEW, preparedVersion: V(2, 2)});
+    rank.view({...VIEW, preparedVersion: versionAt(2, 2)});
     expect(rank.receive(prepare(2, 3))).toEqual(['unready']);
     expect(rank.tick(QUIET_MS - 1)).toEqual([]);
     expect(rank.tick(QUIET_MS)).toEqual(['join']);
@@ -117,7 +124,7 @@
     rank.view({...VIEW, bootId: 'e2', running: false, mapVersion: 0});
     expect(rank.machine.ready).toBe(false);
     expect(rank.join('a1/0')).toEqual([]);
-    expect(rank.join('a1/1', 2, V(2, 2))).toEqual(['startEngine']);
+    expect(rank.join('a1/1', 2, versionAt(2, 2))).toEqual(['startEngine']);
     const started = {kind: 'started', bootId: 'e2'} as const;
     rank.message(started);
     expect(rank.machine.ready).toBe(true);
@@ -148,7 +155,7 @@
     expect(rank.receive(decision(2, 2, 'commit'))).toEqual(['decideEngine']);
     rank.view({...VIEW, step: 20});
     expect(rank.receive(prepare(2, 3))).toEqual(['busy', 'decisionQuery']);
-    rank.view({...VIEW, step: 21, mapVersion: V(2, 2)});
+    rank.view({...VIEW, step: 21, mapVersion: versionAt(2, 2)});
     expect(rank.receive(prepare(2, 3))).toEqual(['prepareEngine']);
   });
 
@@ -157,7 +164,7 @@
     rank.receive(prepare(2, 2));
     rank.prepared(2, 'held');
     rank.receive(decision(2, 2, 'abort'));
-    const held = {...VIEW, preparedVersion: V(2, 2)};
+    const held = {...VIEW, preparedVersion: versionAt(2, 2)};
     expect(rank.view(held)).toEqual(['decideEngine']);
     expect(rank.view(VIEW)).toEqual([]);
     expect(rank.receive(prepare(2, 2))).toEqual(['fenced']);
--- a/tests/rankCaller.spec.ts
+++ b/tests/rankTransport.spec.ts
@@ -1,6 +1,6 @@
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
-import {RankTransport} from '../src/ranks/rankCaller';
+import {RankTransport} from '../src/ranks/rankTransport';
 import {relayToRanks} from '../src/ranks/rankRelay';
 import {RELAY_PARAMS} from '../src/ranks/relayMessages';
 
--- a/tests/wholeAnswer.spec.ts
+++ b/tests/relayResponse.spec.ts
@@ -5,8 +5,13 @@
   relayResponse,
   ResponseRelayEnd,
   ResponseSource,
-} from '../src/entry/chat/wholeAnswer';
-import {closeTargets, scripted, send, started} from './fixtures/targets';
+} from '../src/entry/chat/relayResponse';
+import {
+  runCleanups,
+  startScriptedServer,
+  sendPost,
+  startFake,
+} from './fixtures/targets';
 
 interface HttpSource extends ResponseSource {
   readonly res: http.IncomingMessage;
@@ -39,7 +44,7 @@
 ) {
   const ends: ResponseRelayEnd<HttpSource>[] = [];
   let left = attempts;
-  const {port} = await scripted((req, res) => {
+  const {port} = await startScriptedServer((req, res) => {
     const open = () => openSource(ledger.port, req.url ?? '/');
     const retry = () =>
       --left > 0 ? open() : Promise.reject(new Error('no attempt left'));
@@ -61,7 +66,7 @@
   return {port, ends};
 }
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('relay of complete responses', () => {
   it.each([
@@ -69,9 +74,9 @@
     ['large', '/echo?bytes=3000000', 3_000_000],
     ['chunked', '/echo?chunks=50', 'chunk 0\n'.length * 50],
   ])('should relay a %s response completely', async (_name, path, bytes) => {
-    const ledger = await started(new FakeLedger());
+    const ledger = await startFake(new FakeLedger());
     const {port, ends} = await relayTo(ledger, 2);
-    const relayed = await send(port, path, {});
+    const relayed = await sendPost(port, path, {});
     expect(relayed).toMatchObject({status: 200, whole: true});
     expect(relayed.text.length).toBeGreaterThanOrEqual(bytes);
     expect(ends.map(end => end.kind)).toEqual(['done']);
@@ -82,10 +87,10 @@
     // The target dies within its response. Small responses are held back, so
     // the caller has received no byte yet and gets the complete response of a
     // retry.
-    const ledger = await started(new FakeLedger());
-    ledger.breakNext({kind: 'truncate', times: 2});
+    const ledger = await startFake(new FakeLedger());
+    ledger.injectFault({kind: 'truncate', times: 2});
     const {port, ends} = await relayTo(ledger, 3);
-    const reply = await send(port, '/echo', {});
+    const reply = await sendPost(port, '/echo', {});
     expect(reply).toMatchObject({status: 200, whole: true});
     expect(JSON.parse(reply.text)).toMatchObject({path: '/echo'});
     expect(ends.map(end => end.kind)).toEqual(['done']);
@@ -98,10 +103,10 @@
   ])(
     'should report the response as lost when %s',
     async (_name, attempts, runs) => {
-      const ledger = await started(new FakeLedger());
-      ledger.breakNext({kind: 'truncate', times: 9});
+      const ledger = await startFake(new FakeLedger());
+      ledger.injectFault({kind: 'truncate', times: 9});
       const {port, ends} = await relayTo(ledger, attempts);
-      expect(await send(port, '/echo', {})).toMatchObject({status: 502});
+      expect(await sendPost(port, '/echo', {})).toMatchObject({status: 502});
       expect(ends.map(end => end.kind)).toEqual(['lost']);
       expect(ledger.runs).toHaveLength(runs);
     }
@@ -112,13 +117,13 @@
     // its head and a part of its body when the target dies. A retry would
     // splice two responses, so the connection is closed short of the stated
     // length.
-    const {port: broken} = await scripted((_req, res) => {
+    const {port: broken} = await startScriptedServer((_req, res) => {
       res.writeHead(200, {'content-length': 10_000});
       res.write('x'.repeat(5000), () => res.destroy());
     });
     const ledger = {port: broken} as FakeLedger;
     const {port, ends} = await relayTo(ledger, 3);
-    const reply = await send(port, '/', {});
+    const reply = await sendPost(port, '/', {});
     expect(reply).toMatchObject({status: 200, whole: false});
     expect(ends.map(end => end.kind)).toEqual(['cut']);
   });
@@ -131,7 +136,7 @@
     let stopped: () => void;
     const targetStopped = new Promise<void>(done => (stopped = done));
     let caller: http.ClientRequest | undefined = undefined;
-    const {port: target} = await scripted((_req, res) => {
+    const {port: target} = await startScriptedServer((_req, res) => {
       res.once('close', () => stopped());
       res
         .writeHead(200)
@@ -161,7 +166,7 @@
         waiting.push(done);
       },
     });
-    const ledger = await started(new FakeLedger());
+    const ledger = await startFake(new FakeLedger());
     const source = await openSource(ledger.port, '/echo?bytes=5000000');
     const end = relayResponse({
       source,
--- a/tests/reports.spec.ts
+++ b/tests/reports.spec.ts
@@ -1,5 +1,5 @@
-import {LocalAnnouncements} from '../src/cluster/heardRecords';
-import {SyncCursor} from '../src/cluster/leaderProgress';
+import {LocalAnnouncements} from '../src/cluster/localAnnouncements';
+import {SyncCursor} from '../src/cluster/syncCursor';
 import type {SyncState} from '../src/cluster/messages';
 import {NodeDirectory} from '../src/cluster/nodeDirectory';
 import {reportPeriodMs} from '../src/policy/reportPeriod';
--- a/tests/answerHead.spec.ts
+++ b/tests/responseHead.spec.ts
@@ -1,19 +1,19 @@
 import https from 'node:https';
 import {PROTOCOL_VERSION} from '../src/core/protocolVersion';
-import {createPeerAgent} from '../src/rpc/peerClient';
+import {createPeerHttpsAgent} from '../src/rpc/peerClient';
 import {PROTOCOL_HEADER} from '../src/rpc/peerServer';
 import {DISPATCH, SECRET, startAgent} from './fixtures/agentPort';
-import {eventually} from './fixtures/system';
-import {closeTargets, later, scripted} from './fixtures/targets';
+import {eventually} from './fixtures/testSystem';
+import {runCleanups, onCleanup, startScriptedServer} from './fixtures/targets';
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('head of a response', () => {
   it('should reach the entry before the body has begun', async () => {
     // An event feed sends its response head before it has any event. If the
     // agent held the head back for the first chunk, it would reach the caller
     // with the first event only, and the entry would time out on the target.
-    const {port} = await scripted((_req, res) => {
+    const {port} = await startScriptedServer((_req, res) => {
       res.writeHead(200, {'content-type': 'text/plain'});
       res.flushHeaders();
     });
@@ -23,8 +23,8 @@
       'the agent accepts work',
       async () => (lastAnnouncement()?.limit ?? 0) > 0
     );
-    const agent = createPeerAgent(SECRET, 'entry-0');
-    later(() => agent.destroy());
+    const agent = createPeerHttpsAgent(SECRET, 'entry-0');
+    onCleanup(() => agent.destroy());
     const dispatch = {
       ...DISPATCH,
       agentBootId: lastAnnouncement()?.agentBootId,
--- a/tests/retryTiming.spec.ts
+++ b/tests/retryTiming.spec.ts
@@ -6,8 +6,8 @@
   // One of fifty requests finds no free slot; a quick retry is still in time.
   it('should be short after a momentary shortage', () => {
     const timing = new RetryTiming();
-    for (let i = 0; i < 50; i++) timing.noteAsked(i * 20);
-    expect(timing.refuse(1_000, HALF)).toBeLessThan(400);
+    for (let i = 0; i < 50; i++) timing.recordRequest(i * 20);
+    expect(timing.recordRefusal(1_000, HALF)).toBeLessThan(400);
   });
 
   // Half of a burst is refused. After a quick retry the same requests would meet the
@@ -16,8 +16,8 @@
     const timing = new RetryTiming();
     let retryInMs = 0;
     for (let i = 0; i < 50; i++) {
-      timing.noteAsked(i * 20);
-      if (i % 2 === 0) retryInMs = timing.refuse(i * 20, HALF);
+      timing.recordRequest(i * 20);
+      if (i % 2 === 0) retryInMs = timing.recordRefusal(i * 20, HALF);
     }
     expect(retryInMs).toBeGreaterThan(1_000);
   });
@@ -25,10 +25,10 @@
   it('should be short again after the shortage', () => {
     const timing = new RetryTiming();
     for (let i = 0; i < 50; i++) {
-      timing.noteAsked(i * 20);
-      timing.refuse(i * 20, HALF);
+      timing.recordRequest(i * 20);
+      timing.recordRefusal(i * 20, HALF);
     }
-    for (let i = 0; i < 50; i++) timing.noteAsked(8_000 + i * 20);
-    expect(timing.refuse(9_000, HALF)).toBeLessThan(400);
+    for (let i = 0; i < 50; i++) timing.recordRequest(8_000 + i * 20);
+    expect(timing.recordRefusal(9_000, HALF)).toBeLessThan(400);
   });
 });
--- a/tests/route.spec.ts
+++ b/tests/route.spec.ts
@@ -1,4 +1,4 @@
-import {Progress} from '../src/core/progress';
+import {CallContext} from '../src/core/callContext';
 import type {Announcement} from '../src/core/wire';
 import type {ClassifiedCall} from '../src/entry/call';
 import type {EntryCore} from '../src/entry/entryCore';
@@ -8,7 +8,7 @@
 import {parseRules} from '../src/rules/parseRules';
 import {RuleIndex} from '../src/rules/ruleIndex';
 import {TargetDirectory} from '../src/sync/targetDirectory';
-import {ANNOUNCED} from './fixtures/announced';
+import {SAMPLE_ANNOUNCEMENT} from './fixtures/sampleAnnouncement';
 
 const RULES = `revision 1 # asked by Aoife
 pool planner engine # asked by Aoife
@@ -23,7 +23,7 @@
   index: number,
   change: Partial<Announcement> = {}
 ): Announcement => ({
-  ...ANNOUNCED,
+  ...SAMPLE_ANNOUNCEMENT,
   targetId: `planner-${index}`,
   agentBootId: `boot-${index}`,
   outstanding: 1,
@@ -67,7 +67,7 @@
     pool: 'planner',
     rules: new RuleIndex(parsed.ruleSet),
     chat: model && {model, promptTokens: 1, outputTokens: 1, prefixes: []},
-    progress: new Progress('r', performance.now() + 1_000, 'entry-1'),
+    progress: new CallContext('r', performance.now() + 1_000, 'entry-1'),
   } as unknown as ClassifiedCall;
   const picks = Array.from({length: 60}, () =>
     route(core, call, new Set(), modelVersion)
--- a/tests/ruleIndex.spec.ts
+++ b/tests/ruleIndex.spec.ts
@@ -50,8 +50,8 @@
   });
 
   it('should know only the customers, pools and zones of the file', () => {
-    expect(index.isKnown('harbour')).toBe(true);
-    expect(index.isKnown('constructor')).toBe(false);
+    expect(index.isKnownCustomer('harbour')).toBe(true);
+    expect(index.isKnownCustomer('constructor')).toBe(false);
     expect(index.share('harbour')).toBe(4);
     expect(index.customerRule('harbour')?.concurrent).toBe(9);
     expect(index.poolKind('ledger')).toBe('service');
--- a/tests/serviceGroups.spec.ts
+++ b/tests/serviceConcurrency.spec.ts
@@ -1,8 +1,8 @@
-import {computeConcurrency} from '../src/cluster/serviceGroups';
+import {computeConcurrency} from '../src/cluster/serviceConcurrency';
 import {GroupLimits} from '../src/policy/groupLimits';
 import type {ServiceLoad} from '../src/cluster/messages';
 import type {MapOutlook} from '../src/policy/mapOutlook';
-import {fixedPassMs, requestPassMs} from '../src/policy/passLength';
+import {fixedPassMs, passMsPerRequest} from '../src/policy/passDuration';
 import {ShiftHistory} from '../src/policy/shiftHistory';
 import type {TargetRecord} from '../src/site/announcement';
 import type {EngineProfile, SiteService} from '../src/site/site';
@@ -51,7 +51,7 @@
 }));
 
 function passMs(running: number, skew: number): number {
-  const cost = requestPassMs({engine: ENGINE, ranks: RANKS, skew});
+  const cost = passMsPerRequest({engine: ENGINE, ranks: RANKS, skew});
   return fixedPassMs(ENGINE) + running * cost;
 }
 
@@ -175,36 +175,36 @@
   // not known yet, and all callers return: passes are as long as after a shift.
   it('should expect a typical shift before any was observed', () => {
     const history = new ShiftHistory(0, 0);
-    expect(history.due(100)).toBe(3);
-    expect(history.due(13_000)).toBe(0);
+    expect(history.dueSkew(100)).toBe(3);
+    expect(history.dueSkew(13_000)).toBe(0);
   });
 
   it('should continue with the skew that an earlier leader granted', () => {
-    expect(new ShiftHistory(3.4, 0).due(100)).toBe(3.4);
+    expect(new ShiftHistory(3.4, 0).dueSkew(100)).toBe(3.4);
   });
 
   // A shift leaves a backlog, and the next one is three seconds away: until then
   // the group may use all its slots, and only then runs fewer requests.
   it('should expect no shift sooner than after the observed interval', () => {
     const history = new ShiftHistory(3.4, 0);
-    for (const atMs of [3_400, 6_800]) history.note(3.4, atMs);
-    expect(history.due(7_500)).toBe(0);
-    expect(history.due(9_100)).toBe(0);
-    expect(history.due(9_300)).toBe(3.4);
-    expect(history.due(12_000)).toBe(3.4);
+    for (const atMs of [3_400, 6_800]) history.recordShift(3.4, atMs);
+    expect(history.dueSkew(7_500)).toBe(0);
+    expect(history.dueSkew(9_100)).toBe(0);
+    expect(history.dueSkew(9_300)).toBe(3.4);
+    expect(history.dueSkew(12_000)).toBe(3.4);
   });
 
   it('should use the shortest interval between large shifts', () => {
     const history = new ShiftHistory(3.4, 0);
-    history.note(1.4, 500);
-    history.note(3.2, 2_000);
-    history.note(3.3, 6_000);
-    expect(history.due(6_500)).toBe(0);
-    expect(history.due(7_000)).toBe(3.4);
+    history.recordShift(1.4, 500);
+    history.recordShift(3.2, 2_000);
+    history.recordShift(3.3, 6_000);
+    expect(history.dueSkew(6_500)).toBe(0);
+    expect(history.dueSkew(7_000)).toBe(3.4);
   });
 
   it('should expire old shifts', () => {
     const history = new ShiftHistory(3.4, 0);
-    expect(history.due(13_000)).toBe(0);
+    expect(history.dueSkew(13_000)).toBe(0);
   });
 });
--- a/tests/servicePool.spec.ts
+++ b/tests/servicePool.spec.ts
@@ -52,10 +52,10 @@
   it('should send nothing to a stalled group', () => {
     const {pool, choose} = createPool();
     const {stallWatch} = pool.streams.forGroup('g');
-    stallWatch.opened();
-    stallWatch.opened();
+    stallWatch.streamStarted();
+    stallWatch.streamStarted();
     stallWatch.noteEvent(0);
-    pool.streams.forGroup('h').stallWatch.opened();
+    pool.streams.forGroup('h').stallWatch.streamStarted();
     for (let i = 0; i < 6; i++) pool.begin('healthy', 0);
     expect(choose(targets)).toBe('healthy');
     expect(pool.isStalled(1_000)).toBe(false);
@@ -65,8 +65,8 @@
     const {pool, choose} = createPool();
     for (const group of ['g', 'h']) {
       const {stallWatch} = pool.streams.forGroup(group);
-      stallWatch.opened();
-      stallWatch.opened();
+      stallWatch.streamStarted();
+      stallWatch.streamStarted();
       stallWatch.noteEvent(0);
     }
     expect(pool.isStalled(1_000)).toBe(true);
--- a/tests/freshPort.spec.ts
+++ b/tests/startOnFreePort.spec.ts
@@ -1,4 +1,4 @@
-import {PortTakenError, onFreshPort} from '../bench/deployment/freePorts';
+import {PortTakenError, startOnFreePort} from '../bench/deployment/freePorts';
 
 describe('start on a fresh port', () => {
   // A port is chosen before the agent listens on it. Under load an agent takes a
@@ -6,7 +6,7 @@
   // all tests of the deployment failed.
   it('should choose another port when the first one is taken', async () => {
     let tries = 0;
-    const started = onFreshPort(async () => {
+    const started = startOnFreePort(async () => {
       if (++tries < 3) throw new PortTakenError('taken');
       return tries;
     });
@@ -15,7 +15,7 @@
 
   it('should fail after three ports that are taken', async () => {
     let tries = 0;
-    const started = onFreshPort(async () => {
+    const started = startOnFreePort(async () => {
       tries++;
       throw new PortTakenError('taken');
     });
@@ -25,7 +25,7 @@
 
   it('should not try again after another error', async () => {
     let tries = 0;
-    const started = onFreshPort(async () => {
+    const started = startOnFreePort(async () => {
       tries++;
       throw new Error('another error');
     });
--- a/tests/streamRelay.spec.ts
+++ b/tests/streamRelay.spec.ts
@@ -8,14 +8,14 @@
 } from '../src/entry/chat/streamResumer';
 import type {TargetAdapter} from '../src/target/targetAdapter';
 import {
-  adapterOf,
+  createAdapter,
   CHAT_PATH,
   chatBody,
-  closeTargets,
-  later,
-  scripted,
-  send,
-  started,
+  runCleanups,
+  onCleanup,
+  startScriptedServer,
+  sendPost,
+  startFake,
 } from './fixtures/targets';
 
 const TOKENS = 40;
@@ -59,11 +59,11 @@
 /** Starts a relay over real connections that uses the engines in turn. */
 async function setUp(...configs: readonly Partial<EngineConfig>[]) {
   const engines = await Promise.all(
-    configs.map(cfg => started(new FakeEngine({stepMs: 1, ...cfg})))
+    configs.map(cfg => startFake(new FakeEngine({stepMs: 1, ...cfg})))
   );
-  const adapters = engines.map(engine => adapterOf('engine', engine.port));
+  const adapters = engines.map(engine => createAdapter('engine', engine.port));
   const ends: StreamEnd[] = [];
-  const {port} = await scripted((_req, res) => {
+  const {port} = await startScriptedServer((_req, res) => {
     let turn = 0;
     const open = (from: number) => {
       const at = turn++ % engines.length;
@@ -94,7 +94,7 @@
 
 const ALL_IDS = Array.from({length: TOKENS}, (_, index) => index);
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('streams over engines', () => {
   it.each([
@@ -108,8 +108,8 @@
       const {engines, port} = await setUp({}, {});
       const [first, second] = engines as [FakeEngine, FakeEngine];
       first.control({kind, token, times: 1});
-      const reply = await send(port, '/', {});
-      const direct = await send(second.port, CHAT_PATH, chatBody(TOKENS));
+      const reply = await sendPost(port, '/', {});
+      const direct = await sendPost(second.port, CHAT_PATH, chatBody(TOKENS));
       expect(idsIn(reply.text)).toEqual(ALL_IDS);
       const content = (text: string) => text.match(/"content":"[^"]*"/g);
       expect(content(reply.text)).toEqual(content(direct.text));
@@ -124,7 +124,7 @@
   it('should resume elsewhere when an engine crashes with its connections', async () => {
     const {engines, port} = await setUp({restartMs: 1e6}, {});
     const [first] = engines as [FakeEngine];
-    const reply = send(port, '/', {});
+    const reply = sendPost(port, '/', {});
     while (first.counters.tokens < 10) await new Promise(setImmediate);
     first.control({kind: 'crash'});
     expect(idsIn((await reply).text)).toEqual(ALL_IDS);
@@ -136,7 +136,7 @@
     // complete.
     const {engines, port, ends} = await setUp({}, {modelVersion: 'v2'});
     engines[0]!.control({kind: 'cutAtToken', token: 9, times: 1});
-    const reply = await send(port, '/', {});
+    const reply = await sendPost(port, '/', {});
     expect(idsIn(reply.text)).toEqual(ALL_IDS.slice(0, 9));
     expect(reply.whole).toBe(false);
     expect(reply.text).toContain('event: error\ndata: {"reason":"stream-cut"');
@@ -148,7 +148,7 @@
     const [engine] = engines as [FakeEngine];
     const caller = http.get({host: '127.0.0.1', port, agent: false});
     caller.on('error', () => undefined);
-    later(() => caller.destroy());
+    onCleanup(() => caller.destroy());
     while (engine.counters.tokens < 3) await new Promise(setImmediate);
     caller.destroy();
     while (engine.counters.disconnected < 1) await new Promise(setImmediate);
--- a/tests/targetAdapter.spec.ts
+++ b/tests/targetAdapter.spec.ts
@@ -5,14 +5,14 @@
 import type {Dispatch} from '../src/core/wire';
 import type {TargetOrder} from '../src/target/targetAdapter';
 import {
-  adapterOf,
+  createAdapter,
   CHAT_PATH,
   chatBody,
-  closeTargets,
+  runCleanups,
   neverAborted,
-  scripted,
-  send,
-  started,
+  startScriptedServer,
+  sendPost,
+  startFake,
 } from './fixtures/targets';
 
 const dispatch: Dispatch = {
@@ -41,20 +41,20 @@
   cacheEvents: [],
 };
 
-afterEach(closeTargets);
+afterEach(runCleanups);
 
 describe('engine adapter', () => {
   it('should observe boot, model, load and cache events with their gaps', async () => {
-    const engine = await started(
+    const engine = await startFake(
       new FakeEngine({
         cacheEventLagMs: 0,
         reportLagMs: 0,
         loseEveryNthCacheEvent: 2,
       })
     );
-    const adapter = adapterOf('engine', engine.port);
+    const adapter = createAdapter('engine', engine.port);
     const long = 'x'.repeat(5000);
-    await send(engine.port, CHAT_PATH, chatBody(1, long));
+    await sendPost(engine.port, CHAT_PATH, chatBody(1, long));
     const seen = await adapter.observe(neverAborted);
     expect(seen).toMatchObject({
       bootId: engine.current.bootId,
@@ -72,16 +72,16 @@
   });
 
   it('should report a new boot after a crash, and restart its event sequence', async () => {
-    const engine = await started(
+    const engine = await startFake(
       new FakeEngine({cacheEventLagMs: 0, restartMs: 0})
     );
-    const adapter = adapterOf('engine', engine.port);
-    await send(engine.port, CHAT_PATH, chatBody(1));
+    const adapter = createAdapter('engine', engine.port);
+    await sendPost(engine.port, CHAT_PATH, chatBody(1));
     const before = await adapter.observe(neverAborted);
     engine.control({kind: 'crash'});
     while (engine.current.bootId === before.bootId)
       await new Promise(setImmediate);
-    await send(engine.port, CHAT_PATH, chatBody(1));
+    await sendPost(engine.port, CHAT_PATH, chatBody(1));
     const after = await adapter.observe(neverAborted);
     expect(after.bootId).not.toBe(before.bootId);
     expect(after.cold).toBe(true);
@@ -94,14 +94,14 @@
     // Of two concurrent probes, the older response arrives last. Using it would
     // report an outdated load and attract requests to a full target.
     const pendingReplies: (() => void)[] = [];
-    const {port} = await scripted((_req, res) => {
+    const {port} = await startScriptedServer((_req, res) => {
       const nowMs = 100 + pendingReplies.length * 100;
       const load = {...engineStatus.load, running: nowMs, reportedAtMs: nowMs};
       const body = JSON.stringify({...engineStatus, nowMs, load});
       pendingReplies.push(() => res.end(body));
       if (pendingReplies.length === 2) pendingReplies[1]?.();
     });
-    const adapter = adapterOf('engine', port);
+    const adapter = createAdapter('engine', port);
     const both = [adapter.observe(neverAborted), adapter.observe(neverAborted)];
     const newer = await Promise.any(both);
     pendingReplies[0]?.();
@@ -116,12 +116,12 @@
     ['an error status', 500, '{}', {kind: 'rejected', code: 500}],
     ['a closed connection', 0, '', {kind: 'lost'}],
   ])('should reject %s', async (_name, status, text, fault) => {
-    const {port} = await scripted((_req, res) => {
+    const {port} = await startScriptedServer((_req, res) => {
       if (status === 0) return void res.destroy();
       res.statusCode = status;
       res.end(text);
     });
-    const adapter = adapterOf('engine', port);
+    const adapter = createAdapter('engine', port);
     await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       step: 'target',
       peer: adapter.peer,
@@ -130,13 +130,13 @@
   });
 
   it('should distinguish an unreachable target from one that does not respond', async () => {
-    const {server, port} = await scripted(() => undefined);
-    const adapter = adapterOf('engine', port);
+    const {server, port} = await startScriptedServer(() => undefined);
+    const adapter = createAdapter('engine', port);
     const abort = new AbortController();
     const silent = adapter.observe(abort.signal);
     server.once('request', () => abort.abort());
     await expect(silent).rejects.toMatchObject({fault: {kind: 'timeout'}});
-    await closeTargets();
+    await runCleanups();
     await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'unreachable', refusedByHost: true},
     });
@@ -147,12 +147,12 @@
     // Without a retry, it would count as unreachable and its ramp would
     // restart.
     let requests = 0;
-    const {port} = await scripted((_req, res) => {
+    const {port} = await startScriptedServer((_req, res) => {
       requests++;
       if (requests === 2) res.destroy();
       else res.end(JSON.stringify(engineStatus));
     });
-    const adapter = adapterOf('engine', port);
+    const adapter = createAdapter('engine', port);
     await adapter.observe(neverAborted);
     await new Promise(setImmediate);
     expect((await adapter.observe(neverAborted)).bootId).toBe('b1');
@@ -178,14 +178,14 @@
   it.each(orders.map(order => [order.kind, order] as const))(
     'should order %s, and be fenced by a newer token where engines check',
     async (_kind, order) => {
-      const strict = await started(new FakeEngine());
-      const lenient = await started(new FakeEngine({refuseOldFences: false}));
+      const strict = await startFake(new FakeEngine());
+      const lenient = await startFake(new FakeEngine({refuseOldFences: false}));
       const newer: TargetOrder = {kind: 'setRole', fence: 6, role: 'mixed'};
       for (const [engine, expected] of [
         [strict, {kind: 'fenced', highestFence: 6}],
         [lenient, {kind: 'done'}],
       ] as const) {
-        const adapter = adapterOf('engine', engine.port);
+        const adapter = createAdapter('engine', engine.port);
         expect(await adapter.order(order, neverAborted)).toEqual({
           kind: 'done',
         });
@@ -196,12 +196,12 @@
   );
 
   it('should report a load as failed when the weight store rejects it', async () => {
-    const store = await started(
+    const store = await startFake(
       new FakeWeightStore({burst: 1, requestsPerSecond: 0})
     );
     const weightStore = `http://127.0.0.1:${store.port}`;
-    const engine = await started(new FakeEngine({weightStore}));
-    const adapter = adapterOf('engine', engine.port);
+    const engine = await startFake(new FakeEngine({weightStore}));
+    const adapter = createAdapter('engine', engine.port);
     const order = (expert: number) =>
       adapter.order(
         {kind: 'loadExpert', fence: 1, expert, slot: 0},
@@ -217,11 +217,11 @@
   it('should cancel one attempt but not the one that resumed its stream', async () => {
     // A stream is lost and resumed on the same engine. The late cancel of the
     // lost attempt must not stop the new one.
-    const engine = await started(new FakeEngine());
-    const adapter = adapterOf('engine', engine.port);
+    const engine = await startFake(new FakeEngine());
+    const adapter = createAdapter('engine', engine.port);
     const second = {...dispatch, attempt: 2};
     const run = (one: Dispatch, tokens: number) =>
-      send(engine.port, CHAT_PATH, chatBody(tokens), {
+      sendPost(engine.port, CHAT_PATH, chatBody(tokens), {
         ...adapter.requestHeaders(one),
       });
     const replies = [run(dispatch, 100000), run(second, 200)];
@@ -240,12 +240,12 @@
   });
 
   it('should resume after the tokens that were delivered', async () => {
-    const engine = await started(new FakeEngine({stepMs: 0}));
-    const adapter = adapterOf('engine', engine.port);
-    const whole = await send(engine.port, CHAT_PATH, chatBody(6), {
+    const engine = await startFake(new FakeEngine({stepMs: 0}));
+    const adapter = createAdapter('engine', engine.port);
+    const whole = await sendPost(engine.port, CHAT_PATH, chatBody(6), {
       ...adapter.requestHeaders(dispatch),
     });
-    const rest = await send(engine.port, CHAT_PATH, chatBody(6), {
+    const rest = await sendPost(engine.port, CHAT_PATH, chatBody(6), {
       ...adapter.requestHeaders({...dispatch, resumeFrom: 4}),
     });
     expect(adapter.requestHeaders(dispatch)).toEqual({
@@ -262,13 +262,15 @@
 
 describe('service adapter', () => {
   it('should observe a service by its health path, or by a TCP connect', async () => {
-    const ledger = await started(new FakeLedger());
-    const probed = await adapterOf('service', ledger.port, '/health').observe(
-      neverAborted
-    );
+    const ledger = await startFake(new FakeLedger());
+    const probed = await createAdapter(
+      'service',
+      ledger.port,
+      '/health'
+    ).observe(neverAborted);
     expect(probed).toMatchObject({state: 'ready', load: {running: 0}});
     expect(probed.bootId).toBeDefined();
-    const connected = await adapterOf('service', ledger.port).observe(
+    const connected = await createAdapter('service', ledger.port).observe(
       neverAborted
     );
     expect(connected.state).toBe('ready');
@@ -276,12 +278,12 @@
   });
 
   it('should support no orders, and reject when unhealthy or unreachable', async () => {
-    const {port} = await scripted((_req, res) => {
+    const {port} = await startScriptedServer((_req, res) => {
       res.statusCode = 503;
       res.end('{}');
     });
-    const adapter = adapterOf('service', port, '/health');
-    const bare = adapterOf('service', port);
+    const adapter = createAdapter('service', port, '/health');
+    const bare = createAdapter('service', port);
     const order: TargetOrder = {kind: 'setRole', fence: 1, role: 'mixed'};
     expect(await adapter.order(order, neverAborted)).toEqual({
       kind: 'unsupported',
@@ -292,7 +294,7 @@
     await expect(adapter.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'rejected', code: 503},
     });
-    await closeTargets();
+    await runCleanups();
     await expect(bare.observe(neverAborted)).rejects.toMatchObject({
       fault: {kind: 'unreachable', refusedByHost: true},
     });
@@ -304,13 +306,13 @@
     // The engine gets cold without a restart and still reports to be warm. It
     // can run two requests; the third makes it lose all three and restart.
     const coldEngine = {restartMs: 0, coldCapacity: 2, warmupMs: 1e9};
-    const engine = await started(new FakeEngine(coldEngine));
+    const engine = await startFake(new FakeEngine(coldEngine));
     const boot = engine.current.bootId;
     engine.control({kind: 'turnCold', claimLagMs: 60_000});
-    const adapter = adapterOf('engine', engine.port);
+    const adapter = createAdapter('engine', engine.port);
     expect((await adapter.observe(neverAborted)).cold).toBe(false);
     const replies = [1, 2, 3].map(() =>
-      send(engine.port, CHAT_PATH, chatBody(100000)).then(
+      sendPost(engine.port, CHAT_PATH, chatBody(100000)).then(
         reply => reply.whole,
         () => false
       )
@@ -324,9 +326,11 @@
   it('should hold all ranks at the switch step until the last one has the decision', async () => {
     const clock = new StepClock(0);
     const ranks = await Promise.all(
-      [0, 1, 2].map(rank => started(new FakeEngine({group: 'g1', rank}, clock)))
+      [0, 1, 2].map(rank =>
+        startFake(new FakeEngine({group: 'g1', rank}, clock))
+      )
     );
-    const adapters = ranks.map(engine => adapterOf('engine', engine.port));
+    const adapters = ranks.map(engine => createAdapter('engine', engine.port));
     const stepOf = async () =>
       (await adapters[0]!.observe(neverAborted)).group?.step ?? 0;
     const switchStep = (await stepOf()) + 500;
--- a/tests/tokenPace.spec.ts
+++ b/tests/tokenLatencyMonitor.spec.ts
@@ -1,4 +1,4 @@
-import {TokenLatencyMonitor} from '../src/agent/tokenPace';
+import {TokenLatencyMonitor} from '../src/agent/tokenLatencyMonitor';
 
 const RULE = {start: 2, full: 16, overMs: 10_000};
 const PASS_MS = 20;
--- a/tests/capacityAnnounced.spec.ts
+++ b/tests/unchangedAnnouncements.spec.ts
@@ -1,7 +1,7 @@
 import {MemberTable} from '../src/control/memberTable';
 import type {PollAnswer} from '../src/core/wire';
-import {AnnouncedTo} from '../src/sync/announced';
-import {ANNOUNCED} from './fixtures/announced';
+import {AnnouncementTracker} from '../src/sync/announcementTracker';
+import {SAMPLE_ANNOUNCEMENT} from './fixtures/sampleAnnouncement';
 
 function replyOf(change: Partial<PollAnswer> = {}): PollAnswer {
   return {
@@ -17,15 +17,19 @@
 }
 
 /** State towards an instance that has acknowledged announcement 1. */
-function afterFirstReply(): AnnouncedTo {
-  const announced = new AnnouncedTo();
-  announced.answered(announced.next(ANNOUNCED), replyOf());
+function afterFirstReply(): AnnouncementTracker {
+  const announced = new AnnouncementTracker();
+  announced.handleReply(announced.next(SAMPLE_ANNOUNCEMENT), replyOf());
   return announced;
 }
 
 describe('announcements sent by sequence number', () => {
   it('should send only the number when the instance has the announcement', () => {
-    const {part} = afterFirstReply().next({...ANNOUNCED, seq: 2, loadAgeMs: 5});
+    const {part} = afterFirstReply().next({
+      ...SAMPLE_ANNOUNCEMENT,
+      seq: 2,
+      loadAgeMs: 5,
+    });
     expect(part).toEqual({
       unchanged: {targetId: 'planner-0', agentBootId: 'boot-1', seq: 2},
     });
@@ -34,38 +38,40 @@
   it.each([
     [
       'a field other than the number changed',
-      (_: AnnouncedTo) => ({outstanding: 1}),
+      (_: AnnouncementTracker) => ({outstanding: 1}),
     ],
-    ['a reply was lost', (to: AnnouncedTo) => void to.lost()],
+    ['a reply was lost', (to: AnnouncementTracker) => void to.invalidate()],
     [
       'the instance restarted',
-      (to: AnnouncedTo) =>
-        void to.answered(
-          to.next({...ANNOUNCED, seq: 2}),
+      (to: AnnouncementTracker) =>
+        void to.handleReply(
+          to.next({...SAMPLE_ANNOUNCEMENT, seq: 2}),
           replyOf({bootId: 'control-boot-2'})
         ),
     ],
     [
       'the instance does not support the short form',
-      (to: AnnouncedTo) =>
-        void to.answered(
-          to.next({...ANNOUNCED, seq: 2}),
+      (to: AnnouncementTracker) =>
+        void to.handleReply(
+          to.next({...SAMPLE_ANNOUNCEMENT, seq: 2}),
           replyOf({announceAgain: undefined})
         ),
     ],
     [
       'the instance requested it',
-      (to: AnnouncedTo) =>
-        void to.answered(
-          to.next({...ANNOUNCED, seq: 2}),
+      (to: AnnouncementTracker) =>
+        void to.handleReply(
+          to.next({...SAMPLE_ANNOUNCEMENT, seq: 2}),
           replyOf({announceAgain: true})
         ),
     ],
   ])('should send the whole announcement when %s', (_, act) => {
     const announced = afterFirstReply();
     const change = act(announced) ?? {};
-    const {part} = announced.next({...ANNOUNCED, seq: 3, ...change});
-    expect(part).toEqual({announcement: {...ANNOUNCED, seq: 3, ...change}});
+    const {part} = announced.next({...SAMPLE_ANNOUNCEMENT, seq: 3, ...change});
+    expect(part).toEqual({
+      announcement: {...SAMPLE_ANNOUNCEMENT, seq: 3, ...change},
+    });
   });
 
   it('should send the whole announcement after replies out of order', () => {
@@ -73,11 +79,15 @@
     // arrives last. If it counted as the newest, the agent would send only
     // numbers from then on, and the instance would keep "busy" for good.
     const announced = afterFirstReply();
-    const idle = announced.next({...ANNOUNCED, seq: 2});
-    const busy = announced.next({...ANNOUNCED, seq: 3, outstanding: 9});
-    announced.answered(busy, replyOf());
-    announced.answered(idle, replyOf());
-    const {part} = announced.next({...ANNOUNCED, seq: 4});
+    const idle = announced.next({...SAMPLE_ANNOUNCEMENT, seq: 2});
+    const busy = announced.next({
+      ...SAMPLE_ANNOUNCEMENT,
+      seq: 3,
+      outstanding: 9,
+    });
+    announced.handleReply(busy, replyOf());
+    announced.handleReply(idle, replyOf());
+    const {part} = announced.next({...SAMPLE_ANNOUNCEMENT, seq: 4});
     expect(part.announcement).toMatchObject({seq: 4, outstanding: 0});
   });
 });
@@ -94,8 +104,8 @@
 
   it('should keep the target listed', () => {
     const table = new MemberTable();
-    table.heard({...request, announcement: ANNOUNCED}, 0);
-    expect(table.heard({...request, unchanged}, 2_900)).toBe(true);
+    table.handlePoll({...request, announcement: SAMPLE_ANNOUNCEMENT}, 0);
+    expect(table.handlePoll({...request, unchanged}, 2_900)).toBe(true);
     table.expire(5_800);
     expect(table.listTargets()).toMatchObject([{seq: 2}]);
   });
@@ -105,8 +115,8 @@
     ['that has another boot', {...unchanged, agentBootId: 'boot-0'}],
   ])('should request the whole announcement of a target %s', (_, part) => {
     const table = new MemberTable();
-    table.heard({...request, announcement: ANNOUNCED}, 0);
+    table.handlePoll({...request, announcement: SAMPLE_ANNOUNCEMENT}, 0);
     if (part === unchanged) table.expire(3_001);
-    expect(table.heard({...request, unchanged: part}, 3_002)).toBe(false);
+    expect(table.handlePoll({...request, unchanged: part}, 3_002)).toBe(false);
   });
 });
--- a/tests/capacityUsage.spec.ts
+++ b/tests/usageReports.spec.ts
@@ -3,7 +3,7 @@
 import {UsageTable} from '../src/control/usageTable';
 import type {CustomerUsage, PollAnswer} from '../src/core/wire';
 import {UsageCounter} from '../src/entry/usageCounter';
-import {UsageTo} from '../src/sync/usageReports';
+import {UsageTracker} from '../src/sync/usageTracker';
 
 const BOOT_COUNT = 4_097;
 
@@ -42,7 +42,7 @@
 class BillingFixture {
   readonly counter = new UsageCounter();
   readonly log = new UsageState();
-  private readonly sent = [0, 1, 2].map(() => new UsageTo());
+  private readonly sent = [0, 1, 2].map(() => new UsageTracker());
   private readonly tables = [0, 1, 2].map(() => new UsageTable(this.log));
   private nowMs = 0;
   leader = 0;
@@ -58,13 +58,13 @@
   /** Which part of the poll arrives: nothing, the request, or both. */
   report(arrives: 'nothing' | 'request' | 'answer'): void {
     const to = this.sent[this.leader]!;
-    const report = to.due(this.counter.report(), this.nowMs);
+    const report = to.nextReport(this.counter.report(), this.nowMs);
     if (report === undefined || arrives === 'nothing') return;
     const {usage = [], usagePart = false} = report.part;
     const table = this.tables[this.leader]!;
     const held = table.report('boot-1', usage, usagePart, this.nowMs);
     if (arrives === 'answer')
-      to.answered(report, {usageAgain: !held} as PollAnswer);
+      to.handleReply(report, {usageAgain: !held} as PollAnswer);
   }
 
   logUsage(): void {
@@ -106,13 +106,13 @@
   // KB/s for usage alone, which only the traffic would show.
   it('should report only customers with new calls', () => {
     const counter = new UsageCounter();
-    const to = new UsageTo();
+    const to = new UsageTracker();
     counter.add('harbour', {requests: 1});
     counter.add('depot', {requests: 1});
-    const first = to.due(counter.report(), 0)!;
-    to.answered(first, {usageAgain: false} as PollAnswer);
+    const first = to.nextReport(counter.report(), 0)!;
+    to.handleReply(first, {usageAgain: false} as PollAnswer);
     counter.add('depot', {requests: 1});
-    const second = to.due(counter.report(), SILENCE_MS)!;
+    const second = to.nextReport(counter.report(), SILENCE_MS)!;
     expect(second.part).toMatchObject({
       usage: [{customer: 'depot', requests: 2}],
       usagePart: true,
