--- a/src/cluster/serviceConcurrency.ts
+++ b/src/cluster/serviceConcurrency.ts
@@ -59,12 +59,12 @@
   if (engine === undefined || goals.pauseMs === 0)
     return {total: totalCapacity(targets), targets, groups: []};
   const loads = groupLoads(targets, input, engine);
-  const {allNodesReported: isWhole, nowMs} = input;
+  const {allNodesReported, nowMs} = input;
   const limitsByGroup = limits.update({
     engine,
     goals,
     groups: loads,
-    hasAllReports: isWhole,
+    hasAllReports: allNodesReported,
     nowMs,
   });
   const groups = loads.flatMap(load => {
--- a/src/control/log/coreState.ts
+++ b/src/control/log/coreState.ts
@@ -232,14 +232,11 @@
   }
 
   private firstElectionDeadline(): number {
-    const {
-      electionMinMs,
-      electionMaxMs,
-      firstElectionMaxMs: firstElectionMs,
-    } = this.options.timing;
-    return firstElectionMs === undefined
+    const {electionMinMs, electionMaxMs, firstElectionMaxMs} =
+      this.options.timing;
+    return firstElectionMaxMs === undefined
       ? this.randomDeadline(electionMinMs, electionMaxMs)
-      : this.randomDeadline(0, firstElectionMs);
+      : this.randomDeadline(0, firstElectionMaxMs);
   }
 
   resetElectionTimer(): void {
--- a/src/control/memberTable.ts
+++ b/src/control/memberTable.ts
@@ -141,8 +141,8 @@
       });
       this.onPublishedChange(id, record.published, undefined);
     }
-    for (const [id, {lastPollAtMs: heardAtMs}] of this.processes) {
-      if (nowMs - heardAtMs > MEMBER_TTL_MS) this.processes.delete(id);
+    for (const [id, {lastPollAtMs}] of this.processes) {
+      if (nowMs - lastPollAtMs > MEMBER_TTL_MS) this.processes.delete(id);
     }
     for (const [id, {atMs}] of this.tombstones) {
       if (nowMs - atMs > TOMBSTONE_TTL_MS) this.tombstones.delete(id);
--- a/src/control/methods/statusMethods.ts
+++ b/src/control/methods/statusMethods.ts
@@ -24,9 +24,9 @@
   const {role, term, leaderId, voter, commitIndex} = log.status();
   const processes = members
     .listProcesses()
-    .map(({lastPollAtMs: heardAtMs, ...process}) => ({
+    .map(({lastPollAtMs, ...process}) => ({
       ...process,
-      pollAgeMs: Math.round(nowMs - heardAtMs),
+      pollAgeMs: Math.round(nowMs - lastPollAtMs),
     }));
   return {
     instance: {instanceId, role, term, leaderId, voter, commitIndex},
--- a/src/control/usageTable.ts
+++ b/src/control/usageTable.ts
@@ -57,11 +57,11 @@
    */
   listUnlogged(nowMs: number): readonly UsageToLog[] {
     const unlogged: UsageToLog[] = [];
-    for (const [entryBootId, {rows, lastReportAtMs: heardAtMs}] of this.boots) {
+    for (const [entryBootId, {rows, lastReportAtMs}] of this.boots) {
       const totals = [...rows.values()];
       if (!this.logged.covers(entryBootId, totals))
         unlogged.push({entryBootId, totals});
-      else if (nowMs - heardAtMs > LOGGED_RETENTION_MS)
+      else if (nowMs - lastReportAtMs > LOGGED_RETENTION_MS)
         this.boots.delete(entryBootId);
     }
     return unlogged;
--- a/src/policy/groupLimits.ts
+++ b/src/policy/groupLimits.ts
@@ -112,14 +112,14 @@
 
   /** Maximum requests with which passes last no longer than callers accept. */
   private upperBound(group: GroupLoad, input: GroupLimitsInput): GroupLimit {
-    const {engine, goals, hasAllReports: isWhole, nowMs} = input;
+    const {engine, goals, hasAllReports, nowMs} = input;
     const {ranks, running, paceMs, outlook} = group;
     const costAt = (skew: number) => passMsPerRequest({engine, ranks, skew});
     const fixedMs = fixedPassMs(engine);
     const correction = this.correctionOf(group.name);
     const varyingMs = paceMs - fixedMs;
     const isMeasured =
-      isWhole &&
+      hasAllReports &&
       running >= MIN_RUNNING_TO_MEASURE &&
       varyingMs > 0 &&
       !outlook.isHeld;
--- a/src/policy/permitTargetChoice.ts
+++ b/src/policy/permitTargetChoice.ts
@@ -54,18 +54,12 @@
 const TIE_BREAK_RANGE = 0.005;
 
 function costOf(option: TargetOption, medianMs: number): number {
-  const {
-    slots,
-    inFlight: own,
-    permits,
-    isInOwnZone: isNear,
-    failureRate,
-    latencyMs,
-  } = option;
-  const utilization = (own + 1) / Math.max(1, slots);
+  const {slots, inFlight, permits, isInOwnZone, failureRate, latencyMs} =
+    option;
+  const utilization = (inFlight + 1) / Math.max(1, slots);
   let cost = utilization;
-  if (own >= permits) cost += NO_PERMIT_PENALTY * utilization;
-  if (!isNear) cost += REMOTE_ZONE_PENALTY;
+  if (inFlight >= permits) cost += NO_PERMIT_PENALTY * utilization;
+  if (!isInOwnZone) cost += REMOTE_ZONE_PENALTY;
   cost += FAILURE_PENALTY * failureRate ** 2;
   if (medianMs > 0 && latencyMs > SLOW_LATENCY_RATIO * medianMs)
     cost *= latencyMs / medianMs;
