--- a/src/agent/agentCore.ts
+++ b/src/agent/agentCore.ts
@@ -160,9 +160,9 @@
   recordObservation(observation: TargetObservation): void {
     const previous = this.observation;
     this.observation = observation;
-    // Dispatches in transit were sent for the previous model. A new boot id
-    // makes them be refused before they run, instead of being answered by
-    // another model.
+    // Dispatches in transit were sent for the previous model. With a
+    // new boot id they are refused before they run; otherwise another model
+    // would answer them.
     const isSameModel =
       observation.model === previous?.model &&
       observation.modelVersion === previous?.modelVersion;
@@ -174,7 +174,7 @@
     return this.observation;
   }
 
-  /** See `ClaimRegistry.full`. */
+  /** Starts a new claim registry, under a new boot id, if this one is full. */
   renewBootIfFull(): void {
     if (!this.registry.isFull) return;
     this.logger.info(
--- a/src/cli/roleCommand.ts
+++ b/src/cli/roleCommand.ts
@@ -17,7 +17,10 @@
 export interface RunningRole {
   /** Listening port, which the first line of stdout reports. */
   readonly port: number;
-  /** Stops after all requests in progress have completed. */
+  /**
+   * Stops gracefully. Each role decides how long it waits for the requests in
+   * progress.
+   */
   drain(): Promise<void>;
 }
 
--- a/src/control/log/coreState.ts
+++ b/src/control/log/coreState.ts
@@ -62,7 +62,10 @@
 
 /** A leader's snapshot that has been received in part. */
 export interface IncomingSnapshot {
-  /** Identifies sender and snapshot; chunks with another key do not belong. */
+  /**
+   * Identifies sender, term and snapshot. A chunk with another key starts a new
+   * transfer.
+   */
   readonly key: string;
   readonly data: string;
 }
@@ -116,7 +119,10 @@
     if (this.isVoter && this.voters.length === 1) this.electionDeadline = nowMs;
   }
 
-  /** Raft's hard state: term, vote, incarnation and group, as last written. */
+  /**
+   * Raft's hard state, incarnation and group, as last issued for writing; the
+   * write may not be durable yet.
+   */
   get hard(): HardState {
     return this.hardState;
   }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -29,7 +29,10 @@
 
   constructor(readonly parts: GatewayParts) {}
 
-  /** Current view of the cluster; undefined until the cluster node has started. */
+  /**
+   * Current view of the cluster; undefined until the cluster node has started.
+   * Grants that changed are applied to the pools before it is returned.
+   */
   get view(): ClusterView | undefined {
     const view = this.parts.node()?.view;
     if (view !== undefined && view.grants !== this.appliedGrants)
@@ -67,7 +70,7 @@
     for (const pool of this.pools.values()) pool.queue.expire(nowMs);
   }
 
-  /** Load of each service for the report to the leader; resets the counters. */
+  /** Load of each service for the report to the leader; restarts the count of arrivals. */
   takeLoads(): readonly ServiceLoad[] {
     return [...this.pools.values()].map(pool => pool.takeLoad());
   }
--- a/src/policy/zoneReturn.ts
+++ b/src/policy/zoneReturn.ts
@@ -1,8 +1,9 @@
 /** Load ramp of a returning availability zone, and load shedding by customer. */
 
-/** A zone and when it came back; undefined if it was never out of service. */
+/** A zone that may be returning to service. */
 export interface ZoneReturn {
   readonly availabilityZone: string;
+  /** Undefined if the zone was never out of service. */
   readonly returnedAtMs: number | undefined;
 }
 
@@ -16,13 +17,13 @@
   readonly demand: number;
 }
 
-/** Part of the remaining capacity that is allowed for one demand. */
+/** Part of the capacity that is allotted to one demand. */
 export interface CustomerAllowance {
   readonly customer: string;
   readonly priority: number;
   /** Allowed demand, in cost per second. */
   readonly allowed: number;
-  /** Ratio of the demand to refuse, 0 to 1. */
+  /** Fraction of the demand that is refused, 0 to 1. */
   readonly shedRatio: number;
 }
 
--- a/tests/logCluster.ts
+++ b/tests/logCluster.ts
@@ -66,7 +66,7 @@
   readonly fatal: unknown[] = [];
   /** Directed links that lose all messages, as `from>to`. */
   readonly cutLinks = new Set<string>();
-  /** Instances that never reply, although messages reach them. */
+  /** Instances that hang: requests to them are neither delivered nor answered. */
   readonly silent = new Set<string>();
   /** Replacements for the real disk, by instance id. */
   readonly storages = new Map<string, LogStorage>();
--- a/tests/logReplacement.spec.ts
+++ b/tests/logReplacement.spec.ts
@@ -9,7 +9,7 @@
 const EVICTION_MS = 8_000;
 const STEP_MS = 200;
 
-/** Makes a the leader, with voter eviction. Only b has replied so far. */
+/** Makes `a` the leader, with voter eviction. Only `b` has replied so far. */
 function startLeader(minVoters: number, peers: () => readonly string[]) {
   const voterEviction = {silentMs: EVICTION_MS, minVoters};
   const options = {...CORE_OPTIONS, peerIds: peers, voterEviction};
--- a/tests/streamRelay.spec.ts
+++ b/tests/streamRelay.spec.ts
@@ -143,7 +143,7 @@
     expect(ends).toMatchObject([{kind: 'cut', delivered: 9}]);
   });
 
-  it('should stop the engine when the caller disconnects', async () => {
+  it('should cancel the request at the engine when the caller disconnects', async () => {
     const {engines, port, ends} = await setUp({stepMs: 5});
     const [engine] = engines as [FakeEngine];
     const caller = http.get({host: '127.0.0.1', port, agent: false});
