--- a/src/agent/fenceClaim.ts
+++ b/src/agent/fenceClaim.ts
@@ -1,4 +1,4 @@
-/** Tells an entry definitely whether a claim has run at this agent. */
+/** Gives an entry a final result: whether a claim has run at this agent. */
 
 import type {FenceClaimAnswer, FenceClaimRequest} from '../rpc/messages';
 import type {AgentCore} from './agentCore';
