--- a/src/policy/fleetDemand.ts
+++ b/src/policy/fleetDemand.ts
@@ -1,63 +1,70 @@
 /**
- * Demand for each model, in requests at once, from what targets announce.
- * Pure: times are arguments. It rises quickly, since callers wait meanwhile,
- * and falls slowly, so that a pause between two bursts moves no model.
+ * Demand for each model in concurrent requests, from the announcements of
+ * targets. Pure: times are arguments. Demand rises quickly, because callers wait
+ * meanwhile, and falls slowly, because a pause between two bursts must not move
+ * targets to other models.
  */
 
-const RISE_MS = 30_000;
-const FALL_MS = 300_000;
-/** Observed for less, a demand is no ground for an order. */
-const DEMAND_SETTLED_MS = 4_500;
+const RISE_TIME_CONSTANT_MS = 30_000;
+const FALL_TIME_CONSTANT_MS = 300_000;
+/**
+ * Minimum observation time before orders may be based on the demand: a new
+ * leader has not heard from every target yet.
+ */
+const MIN_OBSERVED_MS = 4_500;
 
-/** What one target has in hand. */
-export interface TargetWork {
+/** Requests at one target, running and queued. */
+export interface TargetLoad {
   readonly model?: string;
   readonly outstanding: number;
   readonly queued: number;
 }
 
 /**
- * Requests in hand by model. A queue grows without end while a model is short,
- * so a target counts with at most twice what it may run at once: demand then
- * doubles from one change to the next instead of asking for the whole pool.
+ * Current requests by model. Queues grow without bound while a model has too few
+ * targets, so each target counts with at most twice its concurrency: what it runs
+ * and a queue of the same size. Demand then at most doubles from one change to
+ * the next, instead of claiming the whole pool.
  */
 export function workByModel(
-  targets: readonly TargetWork[],
-  full: number
+  targets: readonly TargetLoad[],
+  concurrency: number
 ): ReadonlyMap<string, number> {
   const work = new Map<string, number>();
   for (const {model, outstanding, queued} of targets) {
     if (model === undefined) continue;
-    const own = outstanding + Math.min(queued, full);
-    work.set(model, (work.get(model) ?? 0) + own);
+    const capped = outstanding + Math.min(queued, concurrency);
+    work.set(model, (work.get(model) ?? 0) + capped);
   }
   return work;
 }
 
-/** Smoothed demand; forgets nothing while it is fed. */
+/** Exponentially smoothed demand by model. */
 export class FleetDemand {
   private levels = new Map<string, number>();
-  private sinceMs: number | undefined;
+  private firstSampleMs: number | undefined;
   private atMs = 0;
 
   observe(work: ReadonlyMap<string, number>, nowMs: number): void {
-    const first = this.sinceMs === undefined;
-    this.sinceMs ??= nowMs;
+    const isFirst = this.firstSampleMs === undefined;
+    this.firstSampleMs ??= nowMs;
     const spanMs = nowMs - this.atMs;
     this.atMs = nowMs;
     for (const model of new Set([...this.levels.keys(), ...work.keys()])) {
-      const seen = work.get(model) ?? 0;
+      const sample = work.get(model) ?? 0;
       const level = this.levels.get(model) ?? 0;
-      const overMs = seen > level ? RISE_MS : FALL_MS;
-      const part = first ? 1 : 1 - Math.exp(-spanMs / overMs);
-      this.levels.set(model, level + part * (seen - level));
+      const timeConstantMs =
+        sample > level ? RISE_TIME_CONSTANT_MS : FALL_TIME_CONSTANT_MS;
+      const weight = isFirst ? 1 : 1 - Math.exp(-spanMs / timeConstantMs);
+      this.levels.set(model, level + weight * (sample - level));
     }
   }
 
-  /** Whether it was watched for long enough to act on. */
+  /** Whether demand was observed long enough to base orders on it. */
   settled(nowMs: number): boolean {
     return (
-      this.sinceMs !== undefined && nowMs - this.sinceMs >= DEMAND_SETTLED_MS
+      this.firstSampleMs !== undefined &&
+      nowMs - this.firstSampleMs >= MIN_OBSERVED_MS
     );
   }
 
--- a/src/policy/fleetPlan.ts
+++ b/src/policy/fleetPlan.ts
@@ -1,93 +1,93 @@
 /**
- * Which targets of a pool are to change their model or its version now. Pure.
- * An order takes a target out for the time of a load, so every order must pay
- * for itself, and none may leave a model with fewer serving targets than the
- * rules say: what is to be replaced goes on until its replacement serves.
+ * Plans which targets of a pool change their model or its version now. Pure.
+ * An order takes a target out of service while it loads, so an order must be
+ * worth its cost, and none may leave a model with fewer serving targets than the
+ * rules require: outdated targets keep serving until others serve in their place.
  */
 
 import {FleetTally} from './fleetTally';
 import type {FleetChange, FleetTarget, ServedModel} from './fleetTally';
 
-/** Limits of the decision, times in milliseconds. */
+/** Thresholds and limits of the plan; times in milliseconds. */
 export interface FleetConfig {
-  /** Part of the pool that may be changing at once; one target always may. */
-  readonly changingPart: number;
-  /** Loads at once that the weight store bears. */
-  readonly loadsAtOnce: number;
-  /** A model is short above this use of what its targets bear. */
-  readonly shortUse: number;
-  /** A target is given away only if the rest then stays below this use. */
-  readonly spareUse: number;
-  /** In a roll-out the rest must stay below this use while a target loads. */
-  readonly rolloutUse: number;
-  /** A target that has changed for another model stays for so long. */
-  readonly dwellMs: number;
-  /** Time over which an order has to pay. */
-  readonly horizonMs: number;
-  /** What a request that could be served is worth against an idle place. */
-  readonly payFactor: number;
+  /** Maximum ratio of the pool that may change at once; at least one target. */
+  readonly maxChangingRatio: number;
+  /** Concurrent loads that the weight store can deliver. */
+  readonly maxConcurrentLoads: number;
+  /** Utilization of its targets above which a model needs more of them. */
+  readonly shortageUtilization: number;
+  /** Maximum utilization of the remaining targets after one is given away. */
+  readonly donorMaxUtilization: number;
+  /** Maximum utilization of the remaining targets while one loads a version. */
+  readonly rolloutMaxUtilization: number;
+  /** Minimum time that a target keeps a model after changing to it. */
+  readonly minDwellMs: number;
+  /** Period over which an order must gain more than it costs. */
+  readonly paybackHorizonMs: number;
+  /** Cost of a slot out of service, relative to the gain of a request served. */
+  readonly lostSlotCost: number;
 }
 
-/** What the planner does when nothing else is set; see docs/DESIGN-fleet.md. */
+/** Defaults; see docs/DESIGN-fleet.md. */
 export const FLEET_DEFAULTS: FleetConfig = {
-  changingPart: 0.1,
-  loadsAtOnce: 16,
-  shortUse: 0.85,
-  spareUse: 0.8,
-  rolloutUse: 0.9,
-  dwellMs: 600_000,
-  horizonMs: 1_800_000,
-  payFactor: 0.25,
+  maxChangingRatio: 0.1,
+  maxConcurrentLoads: 16,
+  shortageUtilization: 0.85,
+  donorMaxUtilization: 0.8,
+  rolloutMaxUtilization: 0.9,
+  minDwellMs: 600_000,
+  paybackHorizonMs: 1_800_000,
+  lostSlotCost: 0.25,
 };
 
-/** All that the decision rests on. */
+/** Input of the plan. */
 export interface FleetView {
   readonly models: readonly ServedModel[];
   readonly targets: readonly FleetTarget[];
-  /** Orders that are not known to have ended. */
+  /** Orders that may still be in progress. */
   readonly open: readonly FleetChange[];
-  /** Requests at once by model, smoothed. */
+  /** Concurrent requests by model, smoothed. */
   readonly demand: ReadonlyMap<string, number>;
-  /** Models whose version has failed to load too often. */
+  /** Models whose version failed to load too often. */
   readonly halted: ReadonlySet<string>;
-  /** Requests at once that a warm target bears. */
+  /** Concurrency of a warm target. */
   readonly full: number;
-  /** Usual time from an order to the end of the load. */
+  /** Expected time from an order to the end of the load. */
   readonly loadMs: number;
-  /** Usual time from the load to a warm target. */
+  /** Expected time from the end of the load until the target is warm. */
   readonly warmupMs: number;
   readonly nowMs: number;
 }
 
-/** A model that should have more targets, or newer ones, and gets none now. */
-export interface Blocked {
+/** A model that needs more or updated targets but gets none now. */
+export interface BlockedModel {
   readonly model: string;
   readonly reason: 'halted' | 'no spare target' | 'does not pay' | 'min';
 }
 
-/** Orders to give now, and what has to wait although it is wanted. */
+/** Orders to send now, and models that have to wait. */
 export interface FleetPlan {
   readonly changes: readonly FleetChange[];
-  readonly blocked: readonly Blocked[];
+  readonly blocked: readonly BlockedModel[];
 }
 
-/** Plans one round; orders already out are not taken back. */
+/** Plans the next orders; orders in progress are never revoked. */
 export function planFleet(view: FleetView, cfg: FleetConfig): FleetPlan {
   return new Planner(view, cfg).plan();
 }
 
-interface Want {
+interface Shortage {
   readonly served: ServedModel;
   readonly belowMin: boolean;
-  /** Demand beyond what the model's targets bear, in requests at once. */
-  readonly unserved: number;
+  /** Demand beyond the capacity of the model's targets, in concurrent requests. */
+  readonly unmetDemand: number;
 }
 
 class Planner {
   private readonly tally: FleetTally;
   private readonly changes: FleetChange[] = [];
-  private readonly blocked: Blocked[] = [];
-  private readonly taken = new Set<string>();
+  private readonly blocked: BlockedModel[] = [];
+  private readonly assigned = new Set<string>();
   private budget: number;
 
   constructor(
@@ -96,126 +96,136 @@
   ) {
     const {models, targets, open, demand} = view;
     this.tally = new FleetTally(models, targets, open, demand);
-    const part = Math.max(1, Math.floor(cfg.changingPart * targets.length));
-    this.budget = Math.min(part, cfg.loadsAtOnce) - this.tally.unsettled;
+    const maxChanging = Math.max(
+      1,
+      Math.floor(cfg.maxChangingRatio * targets.length)
+    );
+    this.budget =
+      Math.min(maxChanging, cfg.maxConcurrentLoads) - this.tally.unsettledCount;
   }
 
   plan(): FleetPlan {
-    // The neediest is asked for anew after each order, since each changes it.
-    const given = new Set<string>();
+    // Each order changes the counts, so the most urgent shortage is recomputed.
+    const skipped = new Set<string>();
     while (this.budget > 0) {
-      const want = this.neediest(given);
-      if (want === undefined) break;
-      if (!this.give(want)) given.add(want.served.model);
+      const shortage = this.mostUrgent(skipped);
+      if (shortage === undefined) break;
+      if (!this.assign(shortage)) skipped.add(shortage.served.model);
     }
     for (const served of this.view.models) this.rollOut(served);
     return {changes: this.changes, blocked: this.blocked};
   }
 
-  private neediest(given: ReadonlySet<string>): Want | undefined {
-    const wants = this.view.models
-      .filter(({model}) => !given.has(model))
-      .map(served => this.wantOf(served))
-      .filter(want => want.belowMin || want.unserved > 0);
-    return wants.sort(byNeed)[0];
+  private mostUrgent(skipped: ReadonlySet<string>): Shortage | undefined {
+    const shortages = this.view.models
+      .filter(({model}) => !skipped.has(model))
+      .map(served => this.shortageOf(served))
+      .filter(shortage => shortage.belowMin || shortage.unmetDemand > 0);
+    return shortages.sort(byUrgency)[0];
   }
 
-  private wantOf(served: ServedModel): Want {
-    const {serving, coming} = this.tally.of(served.model);
-    const held = serving + coming;
-    const bears = held * this.view.full * this.cfg.shortUse;
-    const over = this.demandOf(served.model) - bears;
-    const unserved = held < served.max ? Math.max(0, over) : 0;
-    return {served, belowMin: held < served.min, unserved};
+  private shortageOf(served: ServedModel): Shortage {
+    const {serving, pending} = this.tally.countsOf(served.model);
+    const held = serving + pending;
+    const usableSlots = held * this.view.full * this.cfg.shortageUtilization;
+    const excess = this.demandOf(served.model) - usableSlots;
+    const unmetDemand = held < served.max ? Math.max(0, excess) : 0;
+    return {served, belowMin: held < served.min, unmetDemand};
   }
 
-  private give(want: Want): boolean {
-    const {model} = want.served;
-    if (!this.mayLoad(want.served)) return false;
-    if (!want.belowMin && !this.pays(want.unserved))
+  private assign(shortage: Shortage): boolean {
+    const {model} = shortage.served;
+    if (!this.canLoad(shortage.served)) return false;
+    if (!shortage.belowMin && !this.isWorthLoad(shortage.unmetDemand))
       return this.block(model, 'does not pay');
-    const donor = this.donorFor(want);
+    const donor = this.donorFor(shortage);
     if (donor === undefined) return this.block(model, 'no spare target');
-    this.order(donor, want.served);
+    this.order(donor, shortage.served);
     return true;
   }
 
-  /** A version that nobody serves yet is tried on one target first. */
-  private mayLoad({model}: ServedModel): boolean {
+  /** A version that no target serves yet is first tried on a single target. */
+  private canLoad({model}: ServedModel): boolean {
     if (this.view.halted.has(model)) return this.block(model, 'halted');
-    const {proven, coming} = this.tally.of(model);
-    return proven > 0 || coming === 0;
+    const {proven, pending} = this.tally.countsOf(model);
+    return proven > 0 || pending === 0;
   }
 
-  private block(model: string, reason: Blocked['reason']): false {
+  private block(model: string, reason: BlockedModel['reason']): false {
     this.blocked.push({model, reason});
     return false;
   }
 
-  private pays(unserved: number): boolean {
+  private isWorthLoad(unmetDemand: number): boolean {
     const {full, loadMs, warmupMs} = this.view;
-    const {horizonMs, payFactor} = this.cfg;
+    const {paybackHorizonMs, lostSlotCost} = this.cfg;
     const lostMs = loadMs + warmupMs / 2;
-    const gain = Math.min(unserved, full) * (horizonMs - lostMs);
-    return gain > full * lostMs * payFactor;
+    const gain = Math.min(unmetDemand, full) * (paybackHorizonMs - lostMs);
+    return gain > full * lostMs * lostSlotCost;
   }
 
-  private donorFor({served, belowMin}: Want): FleetTarget | undefined {
-    const {zones} = this.tally.of(served.model);
-    const crowd = (target: FleetTarget) =>
+  private donorFor({served, belowMin}: Shortage): FleetTarget | undefined {
+    const {zones} = this.tally.countsOf(served.model);
+    const modelTargetsInZone = (target: FleetTarget) =>
       zones.get(target.availabilityZone) ?? 0;
-    const own = (target: FleetTarget) =>
-      this.tally.of(target.model ?? '').zones.get(target.availabilityZone) ?? 0;
-    const spare = this.tally.free.filter(
-      target => target.model !== served.model && this.maySpare(target, belowMin)
+    const donorTargetsInZone = (target: FleetTarget) =>
+      this.tally
+        .countsOf(target.model ?? '')
+        .zones.get(target.availabilityZone) ?? 0;
+    const donors = this.tally.free.filter(
+      target =>
+        target.model !== served.model && this.canDonate(target, belowMin)
     );
-    return least(spare, (a, b) => {
-      const unservedFirst =
-        Number(this.tally.isServed(a.model)) -
-        Number(this.tally.isServed(b.model));
+    return minBy(donors, (a, b) => {
+      const withoutRuleFirst =
+        Number(this.tally.hasRule(a.model)) -
+        Number(this.tally.hasRule(b.model));
       return (
-        crowd(a) - crowd(b) ||
-        unservedFirst ||
-        own(b) - own(a) ||
+        modelTargetsInZone(a) - modelTargetsInZone(b) ||
+        withoutRuleFirst ||
+        donorTargetsInZone(b) - donorTargetsInZone(a) ||
         a.work - b.work ||
         (a.targetId < b.targetId ? -1 : 1)
       );
     });
   }
 
-  private maySpare(target: FleetTarget, urgent: boolean): boolean {
-    if (this.taken.has(target.targetId) || !target.serving) return false;
+  private canDonate(target: FleetTarget, urgent: boolean): boolean {
+    if (this.assigned.has(target.targetId) || !target.serving) return false;
     const {model, changedAtMs = -Infinity} = target;
-    if (model === undefined || !this.tally.isServed(model)) return true;
-    const dwelt = this.view.nowMs - changedAtMs >= this.cfg.dwellMs;
-    if (!dwelt && !urgent) return false;
-    return this.staysServed(target, this.cfg.spareUse);
+    if (model === undefined || !this.tally.hasRule(model)) return true;
+    const dwellElapsed = this.view.nowMs - changedAtMs >= this.cfg.minDwellMs;
+    if (!dwellElapsed && !urgent) return false;
+    return this.staysServed(target, this.cfg.donorMaxUtilization);
   }
 
-  /** Whether the model's other targets are enough, by rule and by use. */
-  private staysServed(target: FleetTarget, use: number): boolean {
+  /**
+   * Whether the model's other targets satisfy the minimum of the rules and stay
+   * below a utilization.
+   */
+  private staysServed(target: FleetTarget, maxUtilization: number): boolean {
     const model = target.model ?? '';
     const min = this.view.models.find(one => one.model === model)?.min ?? 0;
-    // One that does not serve takes nothing away.
-    const left =
-      this.tally.of(model).serving - (this.tally.serves(target) ? 1 : 0);
-    if (left < min) return false;
-    return this.demandOf(model) <= left * this.view.full * use;
+    // A target that does not serve leaves the number of serving ones unchanged.
+    const remaining =
+      this.tally.countsOf(model).serving - (this.tally.serves(target) ? 1 : 0);
+    if (remaining < min) return false;
+    return this.demandOf(model) <= remaining * this.view.full * maxUtilization;
   }
 
   private rollOut(served: ServedModel): void {
     const {model} = served;
-    const old = this.tally.free.filter(
+    const outdated = this.tally.free.filter(
       target =>
         target.model === model &&
         target.serving &&
         this.tally.isOutdated(target) &&
-        !this.taken.has(target.targetId)
+        !this.assigned.has(target.targetId)
     );
-    if (old.length === 0) return;
-    for (const target of old) {
-      if (this.budget <= 0 || !this.mayLoad(served)) return;
-      if (!this.staysServed(target, this.cfg.rolloutUse)) {
+    if (outdated.length === 0) return;
+    for (const target of outdated) {
+      if (this.budget <= 0 || !this.canLoad(served)) return;
+      if (!this.staysServed(target, this.cfg.rolloutMaxUtilization)) {
         this.block(model, 'min');
         return;
       }
@@ -224,8 +234,8 @@
   }
 
   private order(target: FleetTarget, {model, version}: ServedModel): void {
-    this.tally.move(target, model);
-    this.taken.add(target.targetId);
+    this.tally.reassign(target, model);
+    this.assigned.add(target.targetId);
     this.changes.push({targetId: target.targetId, model, version});
     this.budget--;
   }
@@ -235,12 +245,12 @@
   }
 }
 
-function byNeed(a: Want, b: Want): number {
+function byUrgency(a: Shortage, b: Shortage): number {
   const belowMin = Number(b.belowMin) - Number(a.belowMin);
-  return belowMin || b.unserved - a.unserved;
+  return belowMin || b.unmetDemand - a.unmetDemand;
 }
 
-function least<T>(
+function minBy<T>(
   items: readonly T[],
   compare: (a: T, b: T) => number
 ): T | undefined {
--- a/src/policy/fleetTally.ts
+++ b/src/policy/fleetTally.ts
@@ -1,6 +1,6 @@
-/** Who holds and who truly serves each model of a pool. Pure. */
+/** Counts the targets of a pool by the model that they hold or serve. Pure. */
 
-/** A model that rules want served. */
+/** A model that the rules require the pool to serve. */
 export interface ServedModel {
   readonly model: string;
   readonly version: string;
@@ -8,54 +8,55 @@
   readonly max: number;
 }
 
-/** A target as last announced. */
+/** A target by its last announcement. */
 export interface FleetTarget {
   readonly targetId: string;
   readonly availabilityZone: string;
   readonly model?: string;
   readonly modelVersion?: string;
-  /** Whether it takes new work now: announced, in service, limit above 0. */
+  /** Whether it accepts new requests now: announced, in service, limit above 0. */
   readonly serving: boolean;
   readonly temperature: 'cold' | 'warming' | 'warm';
-  /** Whether its last order is done, and since then it has held the model. */
+  /** Whether it completed its last order and still holds that model. */
   readonly changed: boolean;
-  /** When its last order was done, if known. */
+  /** When its last order ended, if known. */
   readonly changedAtMs?: number;
-  /** Requests in hand. */
+  /** Requests running and queued. */
   readonly work: number;
-  /** Requests that it may run at once now. */
+  /** Its current concurrency limit. */
   readonly limit: number;
 }
 
-/** An order for a target: to hold this model in this version. */
+/** An order for a target to load this version of a model. */
 export interface FleetChange {
   readonly targetId: string;
   readonly model: string;
   readonly version: string;
 }
 
-/** Counts that change with each order planned. */
+/** Targets of one model; updated with each planned order. */
 export interface ModelTally {
-  /** Targets that truly serve it, whatever the version. */
+  /** Targets that serve it, in any version. */
   serving: number;
-  /** Those of them that hold the version of the rules. */
+  /** Serving targets that hold the version of the rules. */
   proven: number;
-  /** Targets under way to it, or still cold. */
-  coming: number;
-  /** Targets that hold it or are under way to it, by zone. */
+  /** Targets that are ordered to load it, or hold it but do not serve yet. */
+  pending: number;
+  /** Targets counted above, by zone. */
   readonly zones: Map<string, number>;
 }
 
-/** Less demand than this need not reach every target. */
-const IDLE_PER_TARGET = 0.25;
-/** Less work than this part of its limit does not warm a target. */
-const PUSHED_PART = 0.5;
+/** With less demand per target, some targets may get no request at all. */
+const IDLE_REQUESTS_PER_TARGET = 0.25;
+/** Minimum requests, as a ratio of its limit, that warm a target up. */
+const MIN_WARMUP_UTILIZATION = 0.5;
 
-/** A pool's targets by what they do. */
+/** Counts of a pool's targets by model. */
 export class FleetTally {
+  /** Targets without an order in progress. */
   readonly free: readonly FleetTarget[];
-  /** Targets under an order, or changed and not settled yet. */
-  readonly unsettled: number;
+  /** Targets with an order in progress, or still warming up after one. */
+  readonly unsettledCount: number;
   private readonly tallies = new Map<string, ModelTally>();
   private readonly idle: ReadonlySet<string>;
   private readonly versions: ReadonlyMap<string, string>;
@@ -63,7 +64,7 @@
   constructor(
     models: readonly ServedModel[],
     targets: readonly FleetTarget[],
-    open: readonly FleetChange[],
+    openOrders: readonly FleetChange[],
     demand: ReadonlyMap<string, number>
   ) {
     this.versions = new Map(models.map(({model, version}) => [model, version]));
@@ -72,83 +73,89 @@
       targets.map(target => [target.targetId, target.availabilityZone])
     );
     const changing = new Set<string>();
-    for (const {targetId, model} of open) {
+    for (const {targetId, model} of openOrders) {
       changing.add(targetId);
       const zone = zoneOf.get(targetId);
-      // Nobody knows what became of a silent target; it neither serves nor
-      // keeps the others from being changed.
-      if (zone !== undefined) this.add(model, zone, 'coming');
+      // The state of an order to a silent target is unknown. It counts neither
+      // as serving nor towards the limit of targets that change at once.
+      if (zone !== undefined) this.add(model, zone, 'pending');
     }
     const free = targets.filter(target => !changing.has(target.targetId));
     this.free = free;
     for (const target of free) this.count(target);
-    this.unsettled =
-      open.filter(({targetId}) => zoneOf.has(targetId)).length +
+    this.unsettledCount =
+      openOrders.filter(({targetId}) => zoneOf.has(targetId)).length +
       free.filter(target => this.isSettling(target)).length;
   }
 
-  of(model: string): ModelTally {
-    const known = this.tallies.get(model);
-    if (known !== undefined) return known;
-    const fresh = {serving: 0, proven: 0, coming: 0, zones: new Map()};
-    this.tallies.set(model, fresh);
-    return fresh;
+  countsOf(model: string): ModelTally {
+    const existing = this.tallies.get(model);
+    if (existing !== undefined) return existing;
+    const created = {serving: 0, proven: 0, pending: 0, zones: new Map()};
+    this.tallies.set(model, created);
+    return created;
   }
 
-  /** A cold target has answered nothing yet, unless nobody asks it anything. */
+  /**
+   * Whether it serves its model. A cold target has not completed a request yet,
+   * which counts as failing to serve unless its model gets too few requests.
+   */
   serves(target: FleetTarget): boolean {
     const {model = '', temperature} = target;
     if (!target.serving) return false;
     return temperature !== 'cold' || this.idle.has(model);
   }
 
-  /** Whether it holds a version of its model that the rules replace. */
+  /** Whether it holds another version of its model than the rules require. */
   isOutdated({model = '', modelVersion}: FleetTarget): boolean {
     const version = this.versions.get(model);
     return version !== undefined && version !== modelVersion;
   }
 
-  isServed(model: string | undefined): boolean {
+  /** Whether the rules require the model to be served. */
+  hasRule(model: string | undefined): boolean {
     return model !== undefined && this.versions.has(model);
   }
 
-  /** The target is to be changed: it counts for the one, no more the other. */
-  move(target: FleetTarget, to: string): void {
+  /** Counts the target for the model it is ordered to load, not its current one. */
+  reassign(target: FleetTarget, to: string): void {
     const {availabilityZone: zone, model = ''} = target;
-    const from = this.of(model);
+    const from = this.countsOf(model);
     if (this.serves(target)) {
       from.serving--;
       if (!this.isOutdated(target)) from.proven--;
     }
     from.zones.set(zone, (from.zones.get(zone) ?? 0) - 1);
-    this.add(to, zone, 'coming');
+    this.add(to, zone, 'pending');
   }
 
   private count(target: FleetTarget): void {
     const {model, availabilityZone: zone} = target;
     if (model === undefined) return;
     if (!this.serves(target)) {
-      const warms = target.serving || this.isSettling(target);
-      if (warms) this.add(model, zone, 'coming');
+      const isWarming = target.serving || this.isSettling(target);
+      if (isWarming) this.add(model, zone, 'pending');
       return;
     }
     this.add(model, zone, 'serving');
-    if (!this.isOutdated(target)) this.of(model).proven++;
+    if (!this.isOutdated(target)) this.countsOf(model).proven++;
   }
 
   /**
-   * One that answers and has little to do stays on its way to warm for good;
-   * one that has enough to do and does not get there is in trouble.
+   * Whether a changed target is not proven yet. A warming target with little work
+   * never becomes warm, so it counts as settled; one that has enough work and
+   * stays short of warm may be faulty.
    */
   private isSettling(target: FleetTarget): boolean {
     const {changed, temperature, model = '', work, limit} = target;
     if (!changed || this.idle.has(model)) return false;
-    if (temperature === 'warming') return work >= limit * PUSHED_PART;
+    if (temperature === 'warming')
+      return work >= limit * MIN_WARMUP_UTILIZATION;
     return temperature === 'cold';
   }
 
-  private add(model: string, zone: string, kind: 'serving' | 'coming'): void {
-    const tally = this.of(model);
+  private add(model: string, zone: string, kind: 'serving' | 'pending'): void {
+    const tally = this.countsOf(model);
     tally[kind]++;
     tally.zones.set(zone, (tally.zones.get(zone) ?? 0) + 1);
   }
@@ -159,12 +166,13 @@
   targets: readonly FleetTarget[],
   demand: ReadonlyMap<string, number>
 ): ReadonlySet<string> {
-  const held = new Map<string, number>();
+  const targetCounts = new Map<string, number>();
   for (const {model = ''} of targets)
-    held.set(model, (held.get(model) ?? 0) + 1);
+    targetCounts.set(model, (targetCounts.get(model) ?? 0) + 1);
   const idle = models.filter(
     ({model}) =>
-      (demand.get(model) ?? 0) < IDLE_PER_TARGET * (held.get(model) ?? 0)
+      (demand.get(model) ?? 0) <
+      IDLE_REQUESTS_PER_TARGET * (targetCounts.get(model) ?? 0)
   );
   return new Set(idle.map(({model}) => model));
 }
