--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -27,7 +27,7 @@
   quickstart: 'bench/quickstart.ts',
 };
 
-// `--program FOLDER` builds the program alone, for a deployment.
+// `--program FOLDER` builds only the marlpulley program, for a deployment.
 const only = process.argv.indexOf('--program');
 const folder = only < 0 ? 'dist' : process.argv[only + 1];
 const entryPoints =
@@ -43,8 +43,8 @@
     platform: 'node',
     target: 'node20',
     format: 'cjs',
-    // Optional native add-ons of hot-shots and bunyan; both do without them.
-    // esbuild is loaded from node_modules by the mutant runner only.
+    // Optional native add-ons of hot-shots and bunyan, which work without them.
+    // Only the mutant runner uses esbuild, and loads it from node_modules.
     external: ['unix-dgram', 'dtrace-provider', 'esbuild'],
     // meow is an ES module that reads import.meta.url.
     define: {'import.meta': 'bundleMeta'},
@@ -52,10 +52,11 @@
       js: "const bundleMeta = {url: require('node:url').pathToFileURL(__filename).href};",
     },
     sourcemap: false,
-    // Each process holds the text of its program. Names stay, for stack traces.
+    // Each process keeps its program text in memory, so it is minified. Names
+    // stay readable in stack traces.
     minifyWhitespace: true,
     minifySyntax: true,
-    // Node prints the line of an uncaught error.
+    // Node prints the source line of an uncaught error, so lines stay short.
     lineLimit: 120,
     logLevel: 'warning',
   });
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds and runs the whole system once; see bench/quickstart.ts.
+# Installs dependencies, builds, and runs the whole system once; see bench/quickstart.ts.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ -d node_modules ] || npm ci --no-progress
--- a/scripts/verify.sh
+++ b/scripts/verify.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, then formatter, linter, types and all tests: one verdict.
+# Installs dependencies, then runs the formatter, linter, type checks and all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ ! -f node_modules/.package-lock.json ] || ! cmp -s package-lock.json node_modules/.verified-lock; then
@@ -10,8 +10,8 @@
 npm run --silent lint -- --max-warnings 0
 npm run --silent types
 npm run --silent binary
-# Tests of KNOWN-RED.txt fail for a fault that is not mended yet: just these are
-# passed over, by their full names, and printed.
+# Tests listed in KNOWN-RED.txt fail because of known bugs. They are skipped by
+# their full names and printed.
 if [ -s KNOWN-RED.txt ]; then
   echo 'Known red, passed over:'
   cat KNOWN-RED.txt
--- a/src/cli/callFaults.ts
+++ b/src/cli/callFaults.ts
@@ -1,16 +1,21 @@
-/** What went wrong with the instances that were asked, for the operator. */
+/**
+ * Collects the failed calls to control instances, for the report to the
+ * operator.
+ */
 
 import {PeerError, unreachable} from '../core/errors';
 import {RPC_CODES} from '../rpc/peerServer';
-import type {SilentInstance} from './controlClient';
+import type {FailedInstance} from './controlClient';
 
-/** What a fault says besides the step and the peer, which are shown anyway. */
+/**
+ * The error message without its method and peer, which are printed separately.
+ */
 function reasonOf(err: PeerError): string {
   return err.message.replace(`${err.step}: ${err.peer}: `, '');
 }
 
-/** Whether the peer can have taken a call that ended in this fault. */
-function mayHaveTaken({fault}: PeerError): boolean {
+/** Whether the peer may have applied a call that failed with this error. */
+function couldHaveTakenEffect({fault}: PeerError): boolean {
   switch (fault.kind) {
     case 'unreachable':
     case 'version':
@@ -19,30 +24,35 @@
     case 'timeout':
       return true;
     case 'rejected':
-      // Any other rejection may come after the leader lost its majority.
+      // Any other rejection may come from a leader that lost its majority after
+      // it had proposed the change, which can still be committed.
       return fault.code !== RPC_CODES.notLeader;
     default:
       return unreachable(fault);
   }
 }
 
-/** Faults met so far, by instance. */
+/** The latest failure of each instance. */
 export class CallFaults {
-  private readonly byId = new Map<string, string>();
+  private readonly reasonById = new Map<string, string>();
   mayHaveTakenEffect = false;
 
-  add(err: unknown): void {
+  /**
+   * Records a failed call that may change state; rethrows any other error than
+   * a PeerError.
+   */
+  recordCallFailure(err: unknown): void {
     if (!(err instanceof PeerError)) throw err;
-    this.mayHaveTakenEffect ||= mayHaveTaken(err);
-    this.note(err);
+    this.mayHaveTakenEffect ||= couldHaveTakenEffect(err);
+    this.recordProbeFailure(err);
   }
 
-  /** A fault of a call that changes nothing. */
-  note(err: PeerError): void {
-    this.byId.set(err.peer, reasonOf(err));
+  /** Records a failed status query, which has no side effects. */
+  recordProbeFailure(err: PeerError): void {
+    this.reasonById.set(err.peer, reasonOf(err));
   }
 
-  list(): readonly SilentInstance[] {
-    return [...this.byId].map(([id, reason]) => ({id, reason}));
+  list(): readonly FailedInstance[] {
+    return [...this.reasonById].map(([id, reason]) => ({id, reason}));
   }
 }
--- a/src/cli/checkCommand.ts
+++ b/src/cli/checkCommand.ts
@@ -1,10 +1,10 @@
-/** `check`: reads a rule file without sending it anywhere. */
+/** `check`: validates a rule file locally. */
 
 import {formatProblem} from '../rules/ruleProblem';
 import {parseRules} from '../rules/parseRules';
 import type {RuleSet} from '../rules/rule';
 import {EXIT_CODES} from './exitCodes';
-import {readInput, runCommand} from './runCommand';
+import {readInputFile, runCommand} from './runCommand';
 import type {Print} from './runCommand';
 
 const HELP = `
@@ -18,9 +18,11 @@
     2  the file has faults
 `;
 
-/** The rules of a file; prints its faults when there are any. */
+/**
+ * Parses a rule file; prints its errors and returns undefined if it has any.
+ */
 export function checkRules(file: string, print: Print): RuleSet | undefined {
-  const result = parseRules(readInput(file));
+  const result = parseRules(readInputFile(file));
   if (result.ok) return result.ruleSet;
   for (const problem of result.problems) print(formatProblem(file, problem));
   const count = result.problems.length;
--- a/src/cli/checkSettings.ts
+++ b/src/cli/checkSettings.ts
@@ -1,4 +1,7 @@
-/** `--check-settings` of the roles: reads the settings and starts nothing. */
+/**
+ * `--check-settings` of the roles: validates the settings file without starting
+ * the role.
+ */
 
 import {ConfigError} from '../core/errors';
 import {loadSettings} from '../settings/loadSettings';
@@ -6,7 +9,7 @@
 import {EXIT_CODES} from './exitCodes';
 import type {Print} from './runCommand';
 
-/** Prints "ok" or every problem; returns the exit code. */
+/** Prints "ok" or each problem; returns the exit code. */
 export function checkSettings(
   role: SettingsRole,
   file: string,
--- a/src/cli/connectControl.ts
+++ b/src/cli/connectControl.ts
@@ -1,10 +1,10 @@
-/** Connects the operators' client to the deployment of its settings. */
+/** Creates the operators' client from a settings file. */
 
 import {loadClientSettings} from '../settings/loadSettings';
 import type {ControlClient} from './controlClient';
 import {RpcControlClient} from './rpcControlClient';
 
-/** A client of the control instances named in the settings file. */
+/** Creates a client for the control instances listed in the settings file. */
 export function connectControl(settingsFile: string): ControlClient {
   return new RpcControlClient(loadClientSettings(settingsFile));
 }
--- a/src/cli/controlClient.ts
+++ b/src/cli/controlClient.ts
@@ -1,4 +1,4 @@
-/** What the operators' client asks of the control instances. */
+/** Interface of the operators' client to the control plane. */
 
 import type {
   InstanceStatus,
@@ -8,43 +8,54 @@
 } from '../core/operatorAnswers';
 import type {Announcement} from '../core/wire';
 
-/** An instance that gave no answer. */
-export interface SilentInstance {
+/** A control instance whose call failed, and why. */
+export interface FailedInstance {
   readonly id: string;
   readonly reason: string;
 }
 
-/** The status answers of all instances, put together. */
+/**
+ * Status of the deployment, merged from the replies of all control instances.
+ */
 export interface ClusterStatus {
   readonly instances: readonly InstanceStatus[];
-  readonly silent: readonly SilentInstance[];
-  /** 0 before the first accepted file. */
+  /** Instances that returned no status. */
+  readonly silent: readonly FailedInstance[];
+  /** Active revision of the rules; 0 before the first accepted file. */
   readonly revision: number;
   readonly rulesText: string;
   readonly processes: readonly ProcessStatus[];
   readonly targets: readonly Announcement[];
 }
 
-/** Calls to the control plane as a whole. */
+/**
+ * Calls to the control plane; the implementation chooses the instances to call.
+ */
 export interface ControlClient {
-  /** Safe to call again with the same text after a lost answer. */
+  /**
+   * Submits a rule file. Idempotent: safe to repeat with the same text after a
+   * lost reply.
+   */
   submit(text: string): Promise<SubmitAnswer>;
   status(): Promise<ClusterStatus>;
   usage(): Promise<UsageAnswer>;
   close(): void;
 }
 
-/** No instance gave a usable answer. */
+/** Thrown when no control instance returned a usable reply. */
 export class ControlUnavailableError extends Error {
   constructor(
-    step: string,
-    readonly silent: readonly SilentInstance[],
-    /** Whether some instance may have taken the call all the same. */
+    method: string,
+    readonly silent: readonly FailedInstance[],
+    /**
+     * Whether an instance may have applied the call although its reply was
+     * lost.
+     */
     readonly mayHaveTakenEffect: boolean
   ) {
     const reasons = silent.map(({id, reason}) => `  ${id}: ${reason}`);
     super(
-      [`${step}: no control instance gave a usable answer`, ...reasons].join(
+      [`${method}: no control instance gave a usable answer`, ...reasons].join(
         '\n'
       )
     );
--- a/src/cli/controlCommand.ts
+++ b/src/cli/controlCommand.ts
@@ -1,17 +1,20 @@
-/** `control`: an instance with a disk that keeps the agreed state. */
+/**
+ * `control`: runs a control instance, which stores the replicated state on its
+ * disk.
+ */
 
 import {ControlProcess} from '../control/controlProcess';
 import {runRole} from './roleCommand';
 
-const DISK_FAILED = 1;
+const DISK_FAILURE_EXIT_CODE = 1;
 
-/** Runs a control instance. */
+/** Runs a control instance until it has drained. */
 export function runControl(argv: readonly string[]): Promise<number> {
   return runRole('control', argv, async ({settings, logger, metrics}) => {
-    const {process: own, internal, control, data} = settings;
+    const {process: processSettings, internal, control, data} = settings;
     const running = await ControlProcess.start({
-      id: own.id,
-      host: own.host,
+      id: processSettings.id,
+      host: processSettings.host,
       port: internal.port,
       secret: internal.key,
       acceptSecret: internal.acceptKey,
@@ -19,11 +22,11 @@
       dataDir: data.folder,
       logger,
       metrics,
-      // What the disk holds is no longer known, so neither is the vote: the
-      // process ends rather than answer from memory.
+      // After a failed write the durable state, including the recorded vote, is
+      // unknown. The process exits instead of serving from memory.
       onFatal: err => {
         logger.fatal({err: String(err)}, 'durable state failed');
-        process.exit(DISK_FAILED);
+        process.exit(DISK_FAILURE_EXIT_CODE);
       },
     });
     return {port: running.port, drain: () => running.stop()};
--- a/src/cli/exitCodes.ts
+++ b/src/cli/exitCodes.ts
@@ -1,15 +1,21 @@
-/** Exit codes of the operators' client; docs/OPERATORS.md lists the same. */
+/**
+ * Exit codes of the operators' client; docs/OPERATORS.md must list the same
+ * codes.
+ */
 
-/** Codes by what came of the command. */
+/** Exit codes by the outcome of the command. */
 export const EXIT_CODES = {
-  /** Done as asked. */
+  /** The command succeeded. */
   ok: 0,
-  /** No control instance gave a usable answer. */
+  /** No control instance returned a usable reply. */
   unavailable: 1,
-  /** Wrong arguments, or a file with faults; nothing was sent. */
+  /** Wrong arguments, or a file with errors; nothing was sent. */
   badInput: 2,
-  /** The file was not taken: conflict, superseded or gap. */
+  /** The file was not accepted: conflict, superseded or gap. */
   refused: 3,
-  /** Accepted, but not seen in force everywhere in time. */
-  notEverywhere: 4,
+  /**
+   * Accepted, but some processes did not report the revision as active before
+   * the timeout.
+   */
+  notActiveEverywhere: 4,
 } as const;
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,4 +1,4 @@
-/** `explain`: why a request goes where it goes. */
+/** `explain`: shows how a request is routed, and why. */
 
 import type {Announcement} from '../core/wire';
 import {parseRules} from '../rules/parseRules';
@@ -32,7 +32,7 @@
     2  wrong arguments, settings or file
 `;
 
-function rulesInForce({revision, rulesText}: ClusterStatus): RuleSet {
+function parseActiveRules({revision, rulesText}: ClusterStatus): RuleSet {
   if (revision === 0)
     throw new UsageError('no rule file has been accepted yet');
   const result = parseRules(rulesText);
@@ -42,19 +42,23 @@
   );
 }
 
-interface Source {
+/** The rules to explain by and, if known, the current targets. */
+interface ExplainSource {
   readonly ruleSet: RuleSet;
   readonly targets?: readonly Announcement[];
 }
 
-async function sourceFrom(
+async function fetchSource(
   settings: string,
   ruleSet: RuleSet | undefined
-): Promise<Source> {
+): Promise<ExplainSource> {
   const client = connectControl(settings);
   try {
     const status = await client.status();
-    return {ruleSet: ruleSet ?? rulesInForce(status), targets: status.targets};
+    return {
+      ruleSet: ruleSet ?? parseActiveRules(status),
+      targets: status.targets,
+    };
   } finally {
     client.close();
   }
@@ -82,7 +86,7 @@
     const source =
       settings === undefined
         ? {ruleSet, targets: undefined}
-        : await sourceFrom(settings, ruleSet);
+        : await fetchSource(settings, ruleSet);
     if (source.ruleSet === undefined) return EXIT_CODES.badInput;
     const index = new RuleIndex(source.ruleSet);
     const {lines} = explainRequest(index, source.targets, flags);
--- a/src/cli/explainRequest.ts
+++ b/src/cli/explainRequest.ts
@@ -1,4 +1,4 @@
-/** Works out what would happen to a request, and by which lines. */
+/** Evaluates the rules for a request and shows the rule lines that decide. */
 
 import {REFUSALS} from '../core/refusal';
 import type {RefusalReason} from '../core/refusal';
@@ -16,14 +16,17 @@
   readonly path: string;
 }
 
-/** What would happen, as lines, and the refusal if there would be one. */
+/**
+ * The explanation as lines of text, and the refusal that the request would get,
+ * if any.
+ */
 export interface Explanation {
   readonly lines: readonly string[];
   readonly refusal?: RefusalReason;
 }
 
-/** Why a target would take no new request now; undefined when it may. */
-export function ineligibility(
+/** Why a target is not eligible for new requests; undefined if it is. */
+export function ineligibleReason(
   target: Announcement,
   index: RuleIndex
 ): RefusalReason | undefined {
@@ -43,7 +46,7 @@
 }
 
 function targetLine(target: Announcement, index: RuleIndex): string {
-  const reason = ineligibility(target, index);
+  const reason = ineligibleReason(target, index);
   const verdict = reason === undefined ? 'may take it' : `may not: ${reason}`;
   const {targetId, availabilityZone, temperature, outstanding, limit} = target;
   return `    ${targetId} in ${availabilityZone}: ${verdict} (${temperature}, ${outstanding} of ${limit} in work, ${target.queued} queued)`;
@@ -58,7 +61,7 @@
   return `    answered within ${printDuration(limit.timeoutMs)}${firstToken}, at most ${limit.attempts} attempts, retries for ${limit.retryBudgetPercent}% of requests`;
 }
 
-/** Builds the explanation of one request step by step. */
+/** Builds the explanation of one request. */
 class Explainer {
   private readonly lines: string[] = [];
 
@@ -76,7 +79,7 @@
     const rule = this.index.customerRule(customer);
     if (rule === undefined) return this.refused('unknown-customer');
     this.lines.push(`customer by ${ruleText(rule)}`);
-    this.explainOnce();
+    this.explainIdempotency();
     const candidates = this.index.routes(customer, path);
     if (candidates.length === 0) return this.refused('no-route');
     const eligible = candidates.filter(item => this.explainPool(item));
@@ -90,7 +93,7 @@
     return {lines: this.lines, refusal: reason};
   }
 
-  private explainOnce(): void {
+  private explainIdempotency(): void {
     const rule = this.index.onceRule(this.query.method, this.query.path);
     if (rule === undefined) {
       this.lines.push(`${this.query.method} is idempotent here: retried`);
@@ -107,26 +110,29 @@
     );
   }
 
-  /** Whether some target of the pool may take the request. */
+  /**
+   * Explains one candidate pool; returns whether any of its targets is
+   * eligible.
+   */
   private explainPool(candidate: RouteCandidate): boolean {
     const {pool, weight, line} = candidate;
     const rule = this.index.ruleSet.rules.find(item => item.line === line);
-    const where = rule === undefined ? `line ${line}` : ruleText(rule);
-    this.lines.push(`to pool ${pool}, weight ${weight}, by ${where}`);
+    const ruleLabel = rule === undefined ? `line ${line}` : ruleText(rule);
+    this.lines.push(`to pool ${pool}, weight ${weight}, by ${ruleLabel}`);
     this.lines.push(limitLine(pool, this.index));
     if (this.targets === undefined) return true;
-    const members = this.targets.filter(target => target.pool === pool);
-    if (members.length === 0)
+    const poolTargets = this.targets.filter(target => target.pool === pool);
+    if (poolTargets.length === 0)
       this.lines.push('    no target has announced itself');
-    for (const target of members)
+    for (const target of poolTargets)
       this.lines.push(targetLine(target, this.index));
-    return members.some(
-      target => ineligibility(target, this.index) === undefined
+    return poolTargets.some(
+      target => ineligibleReason(target, this.index) === undefined
     );
   }
 }
 
-/** Explains a request; without targets, by the rules alone. */
+/** Explains a request; without `targets`, by the rules alone. */
 export function explainRequest(
   index: RuleIndex,
   targets: readonly Announcement[] | undefined,
--- a/src/cli/logLine.ts
+++ b/src/cli/logLine.ts
@@ -1,22 +1,27 @@
-/** One line of a node's log, read back. */
+/** Parses the JSON log lines of a node. */
 
-/** One log line, as far as it is read. */
+/** The fields of a log line that `trace` and `summary` use. */
 export interface LogLine {
   readonly atMs: number;
   readonly process: string;
   readonly event: string;
   readonly attemptId?: string;
-  /** What the event says beside its name and place. */
+  /** Fields specific to the event. */
   readonly details: Readonly<Record<string, unknown>>;
 }
 
-/** Fields that every line has, or that only repeat the event. */
-const FRAME = new Set(
+/**
+ * Fields that all lines have in common, or that only repeat the event; left out
+ * of `details`.
+ */
+const ENVELOPE_FIELDS = new Set(
   'name role processId hostname pid level event attemptId msg time v'.split(' ')
 );
 
-/** Other text among the lines, such as a crash report, is passed over. */
-export function readLine(text: string): LogLine | undefined {
+/**
+ * Parses one line; returns undefined for other text, such as a crash report.
+ */
+export function parseLogLine(text: string): LogLine | undefined {
   const begin = text.indexOf('{');
   if (begin < 0) return undefined;
   try {
@@ -27,17 +32,17 @@
       event: String(fields['event'] ?? ''),
       attemptId: fields['attemptId'] as string | undefined,
       details: Object.fromEntries(
-        Object.entries(fields).filter(([name]) => !FRAME.has(name))
+        Object.entries(fields).filter(([name]) => !ENVELOPE_FIELDS.has(name))
       ),
     };
   } catch {
-    // Not a line of ours.
+    // Not a JSON log line.
     return undefined;
   }
 }
 
-/** When the step that a line reports began. */
-export function startOf({atMs, details}: LogLine): number {
-  const lasted = Number(details['tookMs'] ?? details['ageMs'] ?? 0);
-  return atMs - lasted;
+/** When the operation that a line reports began: its time less its duration. */
+export function startMsOf({atMs, details}: LogLine): number {
+  const durationMs = Number(details['tookMs'] ?? details['ageMs'] ?? 0);
+  return atMs - durationMs;
 }
--- a/src/cli/logSummary.ts
+++ b/src/cli/logSummary.ts
@@ -1,18 +1,18 @@
 /**
- * What became of all requests in collected logs, and what was under way when a
- * caller got less than it asked for: the first look at a bad hour.
+ * Counts the requests in collected logs by outcome and by what was under way
+ * when they were late or refused, as a first overview of an incident.
  */
 
 import type {LogLine} from './logLine';
-import {startOf} from './logLine';
+import {startMsOf} from './logLine';
 
-/** What callers accept, milliseconds. */
-export interface SummaryLimits {
+/** Limits above which a response counts as late. */
+export interface LatencyLimits {
   readonly firstEventMs: number;
   readonly pauseMs: number;
 }
 
-/** Requests of one service that ended alike for one cause. */
+/** Number of requests of one service with the same outcome and cause. */
 export interface SummaryRow {
   readonly service: string;
   readonly outcome: string;
@@ -20,35 +20,42 @@
   readonly requests: number;
 }
 
-/** What was under way, the most telling first. */
+/** What was under way during a request, the most likely cause first. */
 export type Cause =
   | 'restart'
   | 'no leader'
   | 'map switch'
-  /** What bound the requests of the service, as the refusal tells. */
+  /** The limit that was reached, as logged with the refusal. */
   | `limit: ${string}`
   | 'none known';
 
-interface Span {
+interface TimeSpan {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** Passes are slow before a switch is planned, and until it is in force. */
-const BEFORE_SWITCH_MS = 500;
-const AFTER_SWITCH_MS = 300;
-/** A node that started knows the document, the leader and targets after this. */
-const RESTART_MS = 2_000;
-/** A line that tells of a new leader may be missing. */
-const NO_LEADER_MS = 5_000;
+/** Passes are slow for this long before a map switch is planned. */
+const SLOW_BEFORE_PLAN_MS = 500;
+/** Passes stay slow for this long, until the planned map is active. */
+const SLOW_AFTER_PLAN_MS = 300;
+/**
+ * A restarted node knows the site document, the leader and the targets after
+ * this time.
+ */
+const RESTART_RECOVERY_MS = 2_000;
+/**
+ * Bound of a leaderless period, as its `leader.found` line may be missing from
+ * the logs.
+ */
+const MAX_LEADERLESS_MS = 5_000;
 
-/** Rows by service, outcome and cause, the most frequent first. */
+/** Counts requests by service, outcome and cause, the most frequent first. */
 export function summarize(
   lines: readonly LogLine[],
-  limits: SummaryLimits
+  limits: LatencyLimits
 ): readonly SummaryRow[] {
   const sorted = [...lines].sort((a, b) => a.atMs - b.atMs);
-  const spans = spansOf(sorted);
+  const spans = spansByCause(sorted);
   const services = serviceByAttempt(sorted);
   const rows = new Map<string, SummaryRow>();
   for (const line of sorted) {
@@ -67,10 +74,13 @@
 
 const IN_TIME = 'in time';
 
-/** Undefined for lines that end no request. */
+/**
+ * Outcome that a line reports; undefined for lines that do not end a request or
+ * an attempt.
+ */
 function outcomeOf(
   {event, details}: LogLine,
-  limits: SummaryLimits
+  limits: LatencyLimits
 ): string | undefined {
   if (event === 'request.refused') {
     const {kind} = details['refusal'] as {readonly kind: string};
@@ -87,47 +97,55 @@
 
 function causeOf(
   line: LogLine,
-  spans: ReadonlyMap<Cause, readonly Span[]>
+  spans: ReadonlyMap<Cause, readonly TimeSpan[]>
 ): Cause {
-  const fromMs = startOf(line);
-  for (const [cause, known] of spans)
-    if (known.some(span => span.fromMs <= line.atMs && span.toMs >= fromMs))
+  const fromMs = startMsOf(line);
+  for (const [cause, causeSpans] of spans)
+    if (
+      causeSpans.some(span => span.fromMs <= line.atMs && span.toMs >= fromMs)
+    )
       return cause;
   const {boundBy} = line.details;
   return typeof boundBy === 'string' ? `limit: ${boundBy}` : 'none known';
 }
 
-/** When each cause was under way, the most telling first. */
-function spansOf(
+/** The time spans of each cause, the most likely cause first. */
+function spansByCause(
   lines: readonly LogLine[]
-): ReadonlyMap<Cause, readonly Span[]> {
-  const withoutLeader = lines
+): ReadonlyMap<Cause, readonly TimeSpan[]> {
+  const leaderless = lines
     .filter(({event}) => event === 'leader.lost')
-    .map(({atMs, process}): Span => {
+    .map(({atMs, process}): TimeSpan => {
       const isFound = (line: LogLine) =>
         line.event === 'leader.found' &&
         line.process === process &&
         line.atMs > atMs;
       const foundAtMs = lines.find(isFound)?.atMs ?? Infinity;
-      return {fromMs: atMs, toMs: Math.min(foundAtMs, atMs + NO_LEADER_MS)};
+      return {
+        fromMs: atMs,
+        toMs: Math.min(foundAtMs, atMs + MAX_LEADERLESS_MS),
+      };
     });
   const restarts = lines
     .filter(({event}) => event === 'process.started')
-    .map(({atMs}) => ({fromMs: atMs, toMs: atMs + RESTART_MS}));
+    .map(({atMs}) => ({fromMs: atMs, toMs: atMs + RESTART_RECOVERY_MS}));
   const switches = lines
     .filter(({event}) => event === 'map.planned')
     .map(({atMs}) => ({
-      fromMs: atMs - BEFORE_SWITCH_MS,
-      toMs: atMs + AFTER_SWITCH_MS,
+      fromMs: atMs - SLOW_BEFORE_PLAN_MS,
+      toMs: atMs + SLOW_AFTER_PLAN_MS,
     }));
-  return new Map<Cause, readonly Span[]>([
+  return new Map<Cause, readonly TimeSpan[]>([
     ['restart', restarts],
-    ['no leader', withoutLeader],
+    ['no leader', leaderless],
     ['map switch', switches],
   ]);
 }
 
-/** Refusals do not name their service; an attempt of the same request may. */
+/**
+ * Service of each request, from its attempts: a refusal may not name its
+ * service.
+ */
 function serviceByAttempt(
   lines: readonly LogLine[]
 ): ReadonlyMap<string, string> {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,7 @@
-/** The one binary: roles and the operators' client as subcommands. */
+/**
+ * Entry point of the `marlpulley` binary: runs the subcommand named by the
+ * first argument.
+ */
 
 import {SUBCOMMANDS} from './subcommands';
 
--- a/src/cli/mergeStatus.ts
+++ b/src/cli/mergeStatus.ts
@@ -1,24 +1,26 @@
-/** Puts the answers of several control instances together. */
+/** Merges the status replies of several control instances. */
 
 import type {ProcessStatus, StatusAnswer} from '../core/operatorAnswers';
 import type {Announcement} from '../core/wire';
-import type {ClusterStatus, SilentInstance} from './controlClient';
+import type {ClusterStatus, FailedInstance} from './controlClient';
 
-/** The best item of each id, by first appearance. */
+/**
+ * Keeps the best item of each id, in the order in which the ids first appear.
+ */
 function bestById<T>(
   items: Iterable<T>,
   id: (item: T) => string,
-  better: (candidate: T, known: T) => boolean
+  isBetter: (candidate: T, known: T) => boolean
 ): readonly T[] {
   const best = new Map<string, T>();
   for (const item of items) {
     const known = best.get(id(item));
-    if (known === undefined || better(item, known)) best.set(id(item), item);
+    if (known === undefined || isBetter(item, known)) best.set(id(item), item);
   }
   return [...best.values()];
 }
 
-function heardLater(candidate: ProcessStatus, known: ProcessStatus): boolean {
+function polledLater(candidate: ProcessStatus, known: ProcessStatus): boolean {
   return candidate.pollAgeMs < known.pollAgeMs;
 }
 
@@ -28,27 +30,30 @@
   return candidate.agentBootAtMs > known.agentBootAtMs;
 }
 
-function newest(answers: readonly StatusAnswer[]): StatusAnswer | undefined {
+function highestRevision(
+  answers: readonly StatusAnswer[]
+): StatusAnswer | undefined {
   return [...answers].sort((a, b) => b.revision - a.revision)[0];
 }
 
 /**
- * One view of all answers. An instance that was cut off still answers with an
- * old revision and with targets that have left since; so the highest revision
- * counts, and each process and target is taken from whoever heard it last.
+ * Merges the replies into one status. A partitioned instance still replies, with
+ * an old revision and with targets that have left since. The result therefore
+ * has the highest revision, and the latest known state of each process and
+ * target.
  */
 export function mergeStatus(
   answers: readonly StatusAnswer[],
-  silent: readonly SilentInstance[]
+  silent: readonly FailedInstance[]
 ): ClusterStatus {
   return {
     instances: answers.map(answer => answer.instance),
-    revision: newest(answers)?.revision ?? 0,
-    rulesText: newest(answers)?.rulesText ?? '',
+    revision: highestRevision(answers)?.revision ?? 0,
+    rulesText: highestRevision(answers)?.rulesText ?? '',
     processes: bestById(
       answers.flatMap(answer => answer.processes),
       item => item.processId,
-      heardLater
+      polledLater
     ),
     targets: bestById(
       answers.flatMap(answer => answer.targets),
--- a/src/cli/nodeCommand.ts
+++ b/src/cli/nodeCommand.ts
@@ -1,4 +1,7 @@
-/** `node`: a gateway that finds its cluster by itself; see docs/DESIGN-platform.md. */
+/**
+ * `node`: runs a gateway that discovers its cluster; see
+ * docs/DESIGN-platform.md.
+ */
 
 import {watchFile} from 'node:fs';
 import {CALLER_CODEC} from '../../platform/callerHeaders';
@@ -13,11 +16,14 @@
 import {loadNodeSettings} from '../settings/loadSettings';
 import {checkSettings} from './checkSettings';
 import {EXIT_CODES} from './exitCodes';
-import {UsageError, runBody} from './runCommand';
+import {UsageError, runReportingErrors} from './runCommand';
 
-const STDOUT = 1;
-/** The settings may change without a signal. */
-const WATCH_MS = 1_000;
+const STDOUT_FD = 1;
+/**
+ * Interval at which the settings file is checked, so that edits apply without
+ * SIGHUP.
+ */
+const SETTINGS_WATCH_INTERVAL_MS = 1_000;
 const HELP = `
   Usage
     $ marlpulley node --settings FILE [--check-settings]
@@ -26,9 +32,9 @@
   file, reads the settings again. Log lines go to standard output.
 `;
 
-/** Runs a node until it has drained. */
+/** Runs a node until it has drained; resolves with the exit code. */
 export function runNode(argv: readonly string[]): Promise<number> {
-  return runBody(async () => {
+  return runReportingErrors(async () => {
     if (argv.includes('--help')) {
       process.stdout.write(HELP);
       return EXIT_CODES.ok;
@@ -37,16 +43,16 @@
     if (flag !== '--settings' || file === undefined)
       throw new UsageError('--settings FILE is needed');
     if (check === '--check-settings') return checkSettings('node', file);
-    return runWith(file);
+    return runUntilDrained(file);
   });
 }
 
-async function runWith(file: string): Promise<number> {
-  const settings = loadNodeSettings(file);
+async function runUntilDrained(settingsFile: string): Promise<number> {
+  const settings = loadNodeSettings(settingsFile);
   const {id, logLevel} = settings.process;
-  const output = new BoundedOutput(STDOUT);
+  const output = new BoundedOutput(STDOUT_FD);
   const logger = createLineLogger('node', id, logLevel, output);
-  const running = await NodeProcess.start({
+  const node = await NodeProcess.start({
     settings,
     logger,
     droppedLines: () => output.dropped,
@@ -58,20 +64,20 @@
     },
   });
   logger.info({event: 'process.started', settings}, 'started');
-  const reload = () => reloadFrom(file, running, logger);
+  const reload = () => reloadSettings(settingsFile, node, logger);
   process.on('SIGHUP', reload);
-  watchFile(file, {interval: WATCH_MS}, reload);
+  watchFile(settingsFile, {interval: SETTINGS_WATCH_INTERVAL_MS}, reload);
   const signal = await firstSignal();
   logger.info({event: 'process.stopping', signal}, 'draining');
-  await running.drain();
+  await node.drain();
   logger.info({event: 'process.stopped'}, 'drained');
-  // Connections of callers that stay idle would keep the process.
-  setTimeout(() => process.exit(EXIT_CODES.ok), LAST_LINES_MS);
+  // Idle keep-alive connections of callers would keep the process running.
+  setTimeout(() => process.exit(EXIT_CODES.ok), LOG_FLUSH_MS);
   return EXIT_CODES.ok;
 }
 
-/** Time for the last log lines to go out. */
-const LAST_LINES_MS = 50;
+/** Time for the last log lines to be written before the process exits. */
+const LOG_FLUSH_MS = 50;
 
 function firstSignal(): Promise<string> {
   return new Promise(resolve => {
@@ -80,13 +86,23 @@
   });
 }
 
-/** A file that cannot be used leaves the settings as they are. */
-function reloadFrom(file: string, running: NodeProcess, logger: Logger): void {
+/**
+ * Applies the settings file; if it is invalid, the current settings stay
+ * active.
+ */
+function reloadSettings(
+  settingsFile: string,
+  node: NodeProcess,
+  logger: Logger
+): void {
   try {
-    running.reload(loadNodeSettings(file));
-    logger.info({event: 'settings.read'}, 'settings read again');
+    node.reload(loadNodeSettings(settingsFile));
+    logger.info({event: 'settings.read'}, 'settings reloaded');
   } catch (err) {
     const problems = err instanceof ConfigError ? err.problems : [String(err)];
-    logger.error({event: 'settings.refused', problems}, 'settings kept');
+    logger.error(
+      {event: 'settings.refused', problems},
+      'settings file is invalid, the current settings stay active'
+    );
   }
 }
--- a/src/cli/requestTrace.ts
+++ b/src/cli/requestTrace.ts
@@ -1,48 +1,59 @@
 /**
- * Picks what the collected logs of many nodes say about one request: its own
- * lines, and what nodes came to believe while it was under way.
+ * Selects the log lines that concern one request from the collected logs of
+ * many nodes: its own lines, and the state changes of nodes shortly before and
+ * while it was in progress.
  */
 
 import type {LogLine} from './logLine';
-import {readLine, startOf} from './logLine';
+import {parseLogLine, startMsOf} from './logLine';
 
-/** What an engineer is shown of one line. */
+/** One line of the trace. */
 export interface TraceLine {
   /** Whether the line names the request. */
   readonly isOwn: boolean;
   readonly text: string;
 }
 
-/** Beliefs change before they hurt: maps are planned, leaders are lost. */
-const BEFORE_MS = 500;
-/** Events that say what nodes believe; those of other requests are left out. */
-const BELIEFS = /^(map|leader|log|site|process|disk|settings|change)\./;
-/** Lines about the request in the order of time; none when no line names it. */
+/**
+ * State changes this long before the request are included: a planned map or a
+ * lost leader affects requests that begin later.
+ */
+const CONTEXT_BEFORE_MS = 500;
+/**
+ * Events that report state changes of nodes; events of other requests are left
+ * out.
+ */
+const CONTEXT_EVENTS = /^(map|leader|log|site|process|disk|settings|change)\./;
+
+/** Lines that concern the request, by time; empty if no line has its id. */
 export function traceRequest(
   texts: readonly string[],
   attemptId: string
 ): readonly TraceLine[] {
-  const lines = texts.flatMap(text => readLine(text) ?? []);
-  const own = lines.filter(line => line.attemptId === attemptId);
-  if (own.length === 0) return [];
-  const fromMs = Math.min(...own.map(startOf)) - BEFORE_MS;
-  const toMs = Math.max(...own.map(({atMs}) => atMs));
+  const lines = texts.flatMap(text => parseLogLine(text) ?? []);
+  const requestLines = lines.filter(line => line.attemptId === attemptId);
+  if (requestLines.length === 0) return [];
+  const fromMs = Math.min(...requestLines.map(startMsOf)) - CONTEXT_BEFORE_MS;
+  const toMs = Math.max(...requestLines.map(({atMs}) => atMs));
   const context = lines.filter(
     ({atMs, event, attemptId: other}) =>
       other === undefined &&
-      BELIEFS.test(event) &&
+      CONTEXT_EVENTS.test(event) &&
       atMs >= fromMs &&
       atMs <= toMs
   );
-  return [...own, ...context]
+  return [...requestLines, ...context]
     .sort((a, b) => a.atMs - b.atMs)
     .map(line => ({
       isOwn: line.attemptId === attemptId,
-      text: printLine(line, fromMs + BEFORE_MS),
+      text: formatLine(line, fromMs + CONTEXT_BEFORE_MS),
     }));
 }
 
-function printLine({atMs, process, event, details}: LogLine, startMs: number) {
-  const sinceMs = String(Math.round(atMs - startMs)).padStart(6);
-  return `${sinceMs} ms  ${process}  ${event}  ${JSON.stringify(details)}`;
+function formatLine(
+  {atMs, process, event, details}: LogLine,
+  requestStartMs: number
+) {
+  const offsetMs = String(Math.round(atMs - requestStartMs)).padStart(6);
+  return `${offsetMs} ms  ${process}  ${event}  ${JSON.stringify(details)}`;
 }
--- a/src/cli/roleCommand.ts
+++ b/src/cli/roleCommand.ts
@@ -1,4 +1,4 @@
-/** What the roles entry, agent and control share on the command line. */
+/** Command line shared by the roles entry, agent and control. */
 
 import {createLogger} from '../core/logger';
 import type {Logger} from '../core/logger';
@@ -8,27 +8,27 @@
 import type {SettingsOf} from '../settings/settings';
 import {checkSettings} from './checkSettings';
 import {EXIT_CODES} from './exitCodes';
-import {UsageError, runBody, runCommand} from './runCommand';
+import {UsageError, runReportingErrors, runCommand} from './runCommand';
 
-/** Roles that run until they are told to end. */
+/** Roles that run until they receive a signal. */
 export type ServerRole = Exclude<SettingsRole, 'client'>;
 
-/** A started role. */
+/** A role that is running. */
 export interface RunningRole {
-  /** Port that others are told of, on the first line of stdout. */
+  /** Listening port, which the first line of stdout reports. */
   readonly port: number;
-  /** Ends without cutting off a request. */
+  /** Stops after all requests in progress have completed. */
   drain(): Promise<void>;
 }
 
-/** What a role is started with. */
+/** Dependencies passed to the start function of a role. */
 export interface RoleContext<R extends ServerRole> {
   readonly settings: SettingsOf<R>;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-const FORCED_EXIT = 1;
+const FORCED_EXIT_CODE = 1;
 
 function help(role: ServerRole): string {
   return `
@@ -49,7 +49,7 @@
 `;
 }
 
-/** Runs a role until it has drained. */
+/** Runs a role until it has drained; resolves with the exit code. */
 export function runRole<R extends ServerRole>(
   role: R,
   argv: readonly string[],
@@ -59,29 +59,31 @@
     settings: {type: 'string'},
     checkSettings: {type: 'boolean', default: false},
   } as const;
-  const usual = usualFile(argv);
-  if (usual !== undefined) return runBody(() => runWith(role, usual, start));
+  const settingsFile = settingsFileOnly(argv);
+  if (settingsFile !== undefined)
+    return runReportingErrors(() => runUntilDrained(role, settingsFile, start));
   return runCommand({help: help(role), flags, inputs: []}, argv, async args => {
     const file = args.flags.settings;
     if (file === undefined) throw new UsageError('--settings FILE is needed');
     if (args.flags.checkSettings) return checkSettings(role, file);
-    return runWith(role, file, start);
+    return runUntilDrained(role, file, start);
   });
 }
 
 /**
- * The file, where the arguments are as a running role has them. The parser of
- * all others would stay in memory with each agent for nothing.
+ * Returns the settings file if the arguments are exactly `--settings FILE`, the
+ * usual command of a deployed role. Loading the full argument parser for it
+ * would only cost memory in each agent.
  */
-function usualFile([flag, file, ...rest]: readonly string[]):
+function settingsFileOnly([flag, file, ...rest]: readonly string[]):
   string | undefined {
-  const isUsual = flag === '--settings' && rest.length === 0;
-  return isUsual && file !== undefined && !file.startsWith('-')
+  const isSettingsOnly = flag === '--settings' && rest.length === 0;
+  return isSettingsOnly && file !== undefined && !file.startsWith('-')
     ? file
     : undefined;
 }
 
-async function runWith<R extends ServerRole>(
+async function runUntilDrained<R extends ServerRole>(
   role: R,
   file: string,
   start: (context: RoleContext<R>) => Promise<RunningRole>
@@ -105,16 +107,18 @@
   return EXIT_CODES.ok;
 }
 
-/** Resolves on the first signal; the second one ends the process. */
+/**
+ * Resolves on the first signal; the second one exits the process immediately.
+ */
 function firstSignal(logger: Logger): Promise<void> {
   return new Promise(resolve => {
     let signalled = false;
     const onSignal = (signal: string) => {
       logger.info(
         {signal, signalled},
-        signalled ? 'ending at once' : 'draining'
+        signalled ? 'second signal, exiting without draining' : 'draining'
       );
-      if (signalled) process.exit(FORCED_EXIT);
+      if (signalled) process.exit(FORCED_EXIT_CODE);
       signalled = true;
       resolve();
     };
--- a/src/cli/rpcControlClient.ts
+++ b/src/cli/rpcControlClient.ts
@@ -1,4 +1,4 @@
-/** The control client over JSON-RPC, trying one instance after another. */
+/** Control client over JSON-RPC that tries one instance after another. */
 
 import type {Agent} from 'node:https';
 import {
@@ -30,46 +30,58 @@
 import {ControlUnavailableError} from './controlClient';
 import {mergeStatus} from './mergeStatus';
 
-/** Name under which the client proves that it holds the shared secret. */
+/** Identity under which the client authenticates with the shared secret. */
 const CLIENT_IDENTITY = 'operator';
-/** Wait before asking all instances again, as an election takes a moment. */
-const RETRY_EVERY_MS = 300;
-/** Longest wait for one status. */
+/** Delay between two rounds over all instances, to let an election finish. */
+const RETRY_DELAY_MS = 300;
+/** Upper bound for one status query. */
 const STATUS_TIMEOUT_MS = 1000;
-/** A frozen instance must not hold up what a majority has told. */
-const LATE_AFTER_MS = 500;
-/** Rounds without silent instances, long enough for an election. */
-const ROUNDS_WITHOUT_SILENT = 5;
-/** Rounds over all instances before a submission is given up. */
-const SUBMIT_ROUNDS = 10;
-
-/** A file that the instance cannot read is refused by all alike. */
-function isFinal(err: unknown): boolean {
+/**
+ * Time that the other instances have to reply once a majority has, so that a
+ * frozen instance does not delay the command.
+ */
+const STRAGGLER_TIMEOUT_MS = 500;
+/**
+ * First rounds, which skip unresponsive instances; they last long enough for an
+ * election.
+ */
+const ROUNDS_SKIPPING_UNRESPONSIVE = 5;
+/** Rounds over all instances after which a submission fails. */
+const MAX_SUBMIT_ROUNDS = 10;
+
+/**
+ * Whether every instance would reject the call: the parameters, such as the
+ * submitted file, are invalid.
+ */
+function isPermanentRejection(err: unknown): boolean {
   if (!(err instanceof PeerError) || err.fault.kind !== 'rejected')
     return false;
   return err.fault.code === RPC_CODES.invalidParams;
 }
 
-/** One instance's word, or the fault in place of it. */
-interface Heard {
+/** Result of the status query to one instance. */
+interface StatusProbe {
   readonly peer: PeerClient;
   readonly result: StatusAnswer | PeerError;
 }
 
-/** The leader first, then those that answer, then the rest. */
-function urgency({result}: Heard): number {
+/**
+ * Sort key: the leader first, then the other responsive instances, then the
+ * rest.
+ */
+function callOrder({result}: StatusProbe): number {
   if (result instanceof PeerError) return 2;
   return result.instance.role === 'leader' ? 0 : 1;
 }
 
-function lateOf(peer: PeerClient): Heard {
+function stragglerProbe(peer: PeerClient): StatusProbe {
   const {id} = peer.address;
-  const detail = `no answer ${LATE_AFTER_MS} ms after most others`;
+  const detail = `no answer ${STRAGGLER_TIMEOUT_MS} ms after most others`;
   const fault = {kind: 'timeout'} as const;
   return {peer, result: new PeerError(fault, METHODS.status, id, detail)};
 }
 
-/** Talks to the control instances of the client's settings. */
+/** Client of the control instances listed in the client's settings. */
 export class RpcControlClient implements ControlClient {
   private readonly agent: Agent;
   private readonly peers: readonly PeerClient[];
@@ -77,7 +89,7 @@
 
   constructor(
     cfg: ClientSettings,
-    private readonly submitRounds = SUBMIT_ROUNDS
+    private readonly maxSubmitRounds = MAX_SUBMIT_ROUNDS
   ) {
     this.agent = createPeerAgent(cfg.internal.key, CLIENT_IDENTITY);
     this.peers = cfg.control.instances.map(
@@ -87,44 +99,47 @@
   }
 
   /**
-   * Tries on after any fault: a submission is idempotent by revision and
-   * text, so a second arrival gets the answer of the first.
+   * Retries after any failure except invalid parameters. A submission is
+   * idempotent by revision and text: a repeated one gets the result of the
+   * first.
    */
   async submit(text: string): Promise<SubmitAnswer> {
     const faults = new CallFaults();
-    for (let round = 0; round < this.submitRounds; round++) {
-      if (round > 0) await firstValueFrom(timer(RETRY_EVERY_MS));
-      const answer = await this.firstAnswer<SubmitAnswer>(
+    for (let round = 0; round < this.maxSubmitRounds; round++) {
+      if (round > 0) await firstValueFrom(timer(RETRY_DELAY_MS));
+      const answer = await this.callFirstAvailable<SubmitAnswer>(
         METHODS.submit,
         {text},
         faults,
-        round >= ROUNDS_WITHOUT_SILENT
+        round >= ROUNDS_SKIPPING_UNRESPONSIVE
       );
       if (answer !== undefined) return answer;
     }
-    throw this.unavailable(METHODS.submit, faults);
+    throw this.unavailableError(METHODS.submit, faults);
   }
 
   async status(): Promise<ClusterStatus> {
     const answers: StatusAnswer[] = [];
     const faults = new CallFaults();
-    for (const {result} of await this.hearAll()) {
-      if (result instanceof PeerError) faults.note(result);
+    for (const {result} of await this.probeAll()) {
+      if (result instanceof PeerError) faults.recordProbeFailure(result);
       else answers.push(result);
     }
-    if (answers.length === 0) throw this.unavailable(METHODS.status, faults);
+    if (answers.length === 0)
+      throw this.unavailableError(METHODS.status, faults);
     return mergeStatus(answers, faults.list());
   }
 
   async usage(): Promise<UsageAnswer> {
     const faults = new CallFaults();
-    const answer = await this.firstAnswer<UsageAnswer>(
+    const answer = await this.callFirstAvailable<UsageAnswer>(
       METHODS.usage,
       {},
       faults,
       false
     );
-    if (answer === undefined) throw this.unavailable(METHODS.usage, faults);
+    if (answer === undefined)
+      throw this.unavailableError(METHODS.usage, faults);
     return answer;
   }
 
@@ -133,51 +148,58 @@
   }
 
   /**
-   * Asks one after another, the leader first. Those that are silent are left
-   * out or come last: a frozen leader would cost the whole timeout, while the
-   * others elect a new one in less.
+   * Calls one instance after another, the leader first, until one replies.
+   * Unresponsive instances are skipped or come last: a frozen leader would cost
+   * the whole timeout, and the others elect a new leader in less time.
    */
-  private async firstAnswer<R>(
+  private async callFirstAvailable<R>(
     method: string,
     params: unknown,
     faults: CallFaults,
-    askSilent: boolean
+    includeUnresponsive: boolean
   ): Promise<R | undefined> {
-    const heard = [...(await this.hearAll())];
-    heard.sort((a, b) => urgency(a) - urgency(b));
-    for (const {peer, result} of heard) {
-      if (result instanceof PeerError) faults.note(result);
-      if (result instanceof PeerError && !askSilent) continue;
+    const probes = [...(await this.probeAll())];
+    probes.sort((a, b) => callOrder(a) - callOrder(b));
+    for (const {peer, result} of probes) {
+      if (result instanceof PeerError) faults.recordProbeFailure(result);
+      if (result instanceof PeerError && !includeUnresponsive) continue;
       try {
         return await peer.call<R>(method, params, this.timeoutMs);
       } catch (err) {
-        if (isFinal(err)) throw err;
-        faults.add(err);
+        if (isPermanentRejection(err)) throw err;
+        faults.recordCallFailure(err);
       }
     }
     return undefined;
   }
 
-  /** The status of all; who is much later than a majority counts as silent. */
-  private async hearAll(): Promise<readonly Heard[]> {
-    const heard = new Map<PeerClient, Heard>();
+  /**
+   * Queries the status of all instances; one that is much later than a majority
+   * counts as timed out.
+   */
+  private async probeAll(): Promise<readonly StatusProbe[]> {
+    const probeByPeer = new Map<PeerClient, StatusProbe>();
     const majority = Math.floor(this.peers.length / 2) + 1;
-    const asked = from(this.peers).pipe(
-      mergeMap(peer => this.hear(peer)),
-      tap(item => heard.set(item.peer, item)),
+    const probes = from(this.peers).pipe(
+      mergeMap(peer => this.probe(peer)),
+      tap(probe => probeByPeer.set(probe.peer, probe)),
       share()
     );
-    const late = asked.pipe(
-      filter(item => !(item.result instanceof PeerError)),
+    const stragglerDeadline = probes.pipe(
+      filter(probe => !(probe.result instanceof PeerError)),
       skip(majority - 1),
       take(1),
-      delay(LATE_AFTER_MS)
+      delay(STRAGGLER_TIMEOUT_MS)
+    );
+    await lastValueFrom(probes.pipe(takeUntil(stragglerDeadline)), {
+      defaultValue: undefined,
+    });
+    return this.peers.map(
+      peer => probeByPeer.get(peer) ?? stragglerProbe(peer)
     );
-    await lastValueFrom(asked.pipe(takeUntil(late)), {defaultValue: undefined});
-    return this.peers.map(peer => heard.get(peer) ?? lateOf(peer));
   }
 
-  private async hear(peer: PeerClient): Promise<Heard> {
+  private async probe(peer: PeerClient): Promise<StatusProbe> {
     const timeoutMs = Math.min(this.timeoutMs, STATUS_TIMEOUT_MS);
     try {
       const result = await peer.call<StatusAnswer>(
@@ -192,12 +214,12 @@
     }
   }
 
-  private unavailable(
-    step: string,
+  private unavailableError(
+    method: string,
     faults: CallFaults
   ): ControlUnavailableError {
     return new ControlUnavailableError(
-      step,
+      method,
       faults.list(),
       faults.mayHaveTakenEffect
     );
--- a/src/cli/runCommand.ts
+++ b/src/cli/runCommand.ts
@@ -1,4 +1,4 @@
-/** What all subcommands of the operators' client share. */
+/** Argument parsing, output and exit codes shared by the subcommands. */
 
 import {readFileSync} from 'node:fs';
 import {pathToFileURL} from 'node:url';
@@ -6,7 +6,9 @@
 import {ConfigError} from '../core/errors';
 import {EXIT_CODES} from './exitCodes';
 
-/** Wrong arguments; the message goes to the operator with exit code 2. */
+/**
+ * Wrong arguments; the message is printed and the process exits with code 2.
+ */
 export class UsageError extends Error {
   constructor(message: string) {
     super(message);
@@ -14,18 +16,18 @@
   }
 }
 
-/** Writes one line of the answer. */
+/** Prints one line of output. */
 export type Print = (line: string) => void;
 
-/** What a subcommand accepts. */
+/** Help text, flags and positional arguments of a subcommand. */
 export interface CommandSpec<F extends AnyFlags> {
   readonly help: string;
   readonly flags: F;
-  /** Names of the arguments without a flag, all required. */
+  /** Names of the positional arguments; all are required. */
   readonly inputs: readonly string[];
 }
 
-/** The checked arguments of one run. */
+/** Parsed and validated arguments. */
 export interface CommandArguments<F extends AnyFlags> {
   readonly inputs: readonly string[];
   readonly flags: Result<F>['flags'];
@@ -45,20 +47,20 @@
 ): Promise<CommandArguments<F>> {
   const {default: meow} = await import('meow');
   const cli = meow(spec.help, {
-    // Only asked where the package is; import.meta would keep tests, which
-    // run as CommonJS, from loading this file.
+    // meow only uses the URL to locate the package. A literal import.meta would
+    // prevent tests, which run as CommonJS, from loading this file.
     importMeta: {url: pathToFileURL(__filename).href} as ImportMeta,
     argv,
     flags: spec.flags,
     description: false,
     allowUnknownFlags: false,
     autoVersion: false,
-    // Without this meow searches the disk for a package.json.
+    // Without `pkg`, meow searches the disk for a package.json.
     pkg: {name: 'marlpulley'},
   });
   if (cli.input.length !== spec.inputs.length) {
-    const wanted = spec.inputs.join(' ') || 'no argument without a flag';
-    throw new UsageError(`expected ${wanted}; see --help`);
+    const expected = spec.inputs.join(' ') || 'no argument without a flag';
+    throw new UsageError(`expected ${expected}; see --help`);
   }
   return {inputs: cli.input, flags: cli.flags};
 }
@@ -70,19 +72,26 @@
 }
 
 /**
- * Parses the arguments, runs the body and turns what it throws into a message
- * and an exit code. Unknown flags and `--help` end the process at once.
+ * Parses the arguments and runs the body; resolves with the exit code. Errors
+ * are printed and mapped to an exit code. On unknown flags and `--help`, meow
+ * exits the process immediately.
  */
 export async function runCommand<F extends AnyFlags>(
   spec: CommandSpec<F>,
   argv: readonly string[],
   body: (args: CommandArguments<F>, print: Print) => Promise<number> | number
 ): Promise<number> {
-  return runBody(async () => body(await parseArguments(spec, argv), printLine));
+  return runReportingErrors(async () =>
+    body(await parseArguments(spec, argv), printLine)
+  );
 }
 
-/** Turns what the body throws into a message and an exit code. */
-export async function runBody(body: () => Promise<number>): Promise<number> {
+/**
+ * Runs the body; prints an error that it throws and maps it to an exit code.
+ */
+export async function runReportingErrors(
+  body: () => Promise<number>
+): Promise<number> {
   try {
     return await body();
   } catch (err) {
@@ -91,8 +100,8 @@
   }
 }
 
-/** Text of a file that the operator named. */
-export function readInput(file: string): string {
+/** Reads a file named on the command line; a failure is a usage error. */
+export function readInputFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (err) {
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -1,11 +1,11 @@
-/** `status`: instances, processes and targets as control knows them. */
+/** `status`: shows the instances, processes and targets known to control. */
 
 import type {InstanceStatus, ProcessStatus} from '../core/operatorAnswers';
 import type {Announcement} from '../core/wire';
 import {connectControl} from './connectControl';
 import type {ClusterStatus} from './controlClient';
 import {EXIT_CODES} from './exitCodes';
-import {standingOf} from './inForce';
+import {rolloutStateOf} from './inForce';
 import {runCommand} from './runCommand';
 import {formatTable} from './table';
 
@@ -48,7 +48,7 @@
     process.role,
     process.availabilityZone,
     String(process.heldRevision),
-    standingOf(process, revision),
+    rolloutStateOf(process, revision),
     `${Math.round(process.pollAgeMs)} ms`,
     provenAgeMs === undefined ? 'never' : `${Math.round(provenAgeMs)} ms`,
   ];
@@ -67,7 +67,7 @@
   ];
 }
 
-/** Lines of the status page. */
+/** Formats the status as tables. */
 export function formatStatus(status: ClusterStatus): readonly string[] {
   const {revision} = status;
   return [
@@ -96,7 +96,10 @@
   readonly rules: boolean;
 }
 
-function shown(status: ClusterStatus, flags: StatusFlags): readonly string[] {
+function outputLines(
+  status: ClusterStatus,
+  flags: StatusFlags
+): readonly string[] {
   if (flags.rules) return [status.rulesText.replace(/\n$/, '')];
   return flags.json ? [JSON.stringify(status)] : formatStatus(status);
 }
@@ -116,7 +119,7 @@
     const client = connectControl(flags.settings);
     try {
       const status = await client.status();
-      for (const line of shown(status, flags)) print(line);
+      for (const line of outputLines(status, flags)) print(line);
       return EXIT_CODES.ok;
     } finally {
       client.close();
--- a/src/cli/subcommands.ts
+++ b/src/cli/subcommands.ts
@@ -1,9 +1,9 @@
-/** The table of subcommands. */
+/** Table of subcommands. */
 
-/** One subcommand; its module is loaded only when it runs. */
+/** A subcommand; its module is loaded only when it runs. */
 export interface Subcommand {
   readonly summary: string;
-  /** Resolves with the exit code. */
+  /** Runs the subcommand; resolves with the exit code. */
   run(argv: readonly string[]): Promise<number>;
 }
 
--- a/src/cli/submitCommand.ts
+++ b/src/cli/submitCommand.ts
@@ -1,4 +1,7 @@
-/** `submit`: hands a rule file to the control instances. */
+/**
+ * `submit`: submits a rule file to the control instances and follows its
+ * rollout.
+ */
 
 import {unreachable} from '../core/errors';
 import type {SubmitAnswer, SubmitResult} from '../core/operatorAnswers';
@@ -8,7 +11,7 @@
 import type {ControlClient} from './controlClient';
 import {ControlUnavailableError} from './controlClient';
 import {EXIT_CODES} from './exitCodes';
-import {followInForce} from './inForce';
+import {followRollout} from './inForce';
 import {runCommand, UsageError} from './runCommand';
 import type {Print} from './runCommand';
 
@@ -33,7 +36,7 @@
     4  accepted, but not seen in force everywhere in time
 `;
 
-/** What to tell the operator of an answer. */
+/** Describes the result of a submission to the operator. */
 export function describeSubmit(result: SubmitResult): string {
   const {revision} = result;
   switch (result.kind) {
@@ -70,8 +73,11 @@
   return answer.kind === 'accepted' ? EXIT_CODES.ok : EXIT_CODES.refused;
 }
 
-/** Submits a checked text and follows it; resolves with the exit code. */
-export async function submitText(
+/**
+ * Submits a validated rule file and follows its rollout; resolves with the exit
+ * code.
+ */
+export async function submitAndFollow(
   client: ControlClient,
   text: string,
   waitMs: number,
@@ -82,8 +88,8 @@
     const code = printAnswer(answer, print);
     if (answer.kind !== 'accepted') return code;
     const {revision} = answer;
-    const everywhere = await followInForce(client, revision, waitMs, print);
-    return everywhere ? EXIT_CODES.ok : EXIT_CODES.notEverywhere;
+    const everywhere = await followRollout(client, revision, waitMs, print);
+    return everywhere ? EXIT_CODES.ok : EXIT_CODES.notActiveEverywhere;
   } catch (err) {
     if (!(err instanceof ControlUnavailableError)) throw err;
     print(describeUnavailable(err));
@@ -108,7 +114,7 @@
       throw new UsageError('--wait-ms must be 0 or more');
     const client = connectControl(flags.settings);
     try {
-      return await submitText(client, ruleSet.text, flags.waitMs, print);
+      return await submitAndFollow(client, ruleSet.text, flags.waitMs, print);
     } finally {
       client.close();
     }
--- a/src/cli/summaryCommand.ts
+++ b/src/cli/summaryCommand.ts
@@ -1,8 +1,8 @@
-/** `summary`: what became of all requests in collected logs, by cause. */
+/** `summary`: counts the requests in collected logs by outcome and cause. */
 
-import {UsageError, readInput, runBody} from './runCommand';
+import {UsageError, readInputFile, runReportingErrors} from './runCommand';
 import {EXIT_CODES} from './exitCodes';
-import {readLine} from './logLine';
+import {parseLogLine} from './logLine';
 import {summarize} from './logSummary';
 import {formatTable} from './table';
 
@@ -23,18 +23,22 @@
 
 /** Runs `summary`. */
 export function runSummary(argv: readonly string[]): Promise<number> {
-  return runBody(async () => {
+  return runReportingErrors(async () => {
     if (argv.includes('--help')) {
       process.stdout.write(HELP);
       return EXIT_CODES.ok;
     }
     const [firstEventMs, pauseMs] = argv.slice(0, 2).map(Number);
     const files = argv.slice(2);
-    if (!isTime(firstEventMs) || !isTime(pauseMs) || files.length === 0)
+    if (
+      !isDurationMs(firstEventMs) ||
+      !isDurationMs(pauseMs) ||
+      files.length === 0
+    )
       throw new UsageError('FIRST-EVENT-MS, PAUSE-MS and a FILE are needed');
     const lines = files
-      .flatMap(file => readInput(file).split('\n'))
-      .flatMap(text => readLine(text) ?? []);
+      .flatMap(file => readInputFile(file).split('\n'))
+      .flatMap(text => parseLogLine(text) ?? []);
     const rows = summarize(lines, {firstEventMs, pauseMs});
     const table = formatTable(
       ['REQUESTS', 'SERVICE', 'OUTCOME', 'UNDER WAY'],
@@ -50,6 +54,6 @@
   });
 }
 
-function isTime(ms: number | undefined): ms is number {
+function isDurationMs(ms: number | undefined): ms is number {
   return ms !== undefined && Number.isFinite(ms) && ms >= 0;
 }
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,6 +1,6 @@
-/** Plain tables for the terminal. */
+/** Plain-text tables for the terminal. */
 
-/** Lines of a table: a heading, then one line a row, columns aligned. */
+/** Formats a table with aligned columns: the heading, then one line per row. */
 export function formatTable(
   heading: readonly string[],
   rows: readonly (readonly string[])[]
--- a/src/cli/traceCommand.ts
+++ b/src/cli/traceCommand.ts
@@ -1,8 +1,11 @@
-/** `trace`: what the collected logs of all nodes say about one request. */
+/**
+ * `trace`: prints the lines about one request from the collected logs of all
+ * nodes.
+ */
 
 import {EXIT_CODES} from './exitCodes';
 import {traceRequest} from './requestTrace';
-import {UsageError, readInput, runBody} from './runCommand';
+import {UsageError, readInputFile, runReportingErrors} from './runCommand';
 
 const HELP = `
   Usage
@@ -20,7 +23,7 @@
 
 /** Runs `trace`. */
 export function runTrace(argv: readonly string[]): Promise<number> {
-  return runBody(async () => {
+  return runReportingErrors(async () => {
     if (argv.includes('--help')) {
       process.stdout.write(HELP);
       return EXIT_CODES.ok;
@@ -28,7 +31,7 @@
     const [attemptId, ...files] = argv;
     if (attemptId === undefined || files.length === 0)
       throw new UsageError('REQUEST-ID and one FILE at least are needed');
-    const texts = files.flatMap(file => readInput(file).split('\n'));
+    const texts = files.flatMap(file => readInputFile(file).split('\n'));
     const lines = traceRequest(texts, attemptId);
     for (const {isOwn, text} of lines)
       process.stdout.write(`${isOwn ? '>' : ' '} ${text}\n`);
--- a/src/cli/usageCommand.ts
+++ b/src/cli/usageCommand.ts
@@ -1,4 +1,4 @@
-/** `usage`: what each customer has used, for charging. */
+/** `usage`: shows what each customer has used, for billing. */
 
 import type {CustomerUsage} from '../core/wire';
 import {connectControl} from './connectControl';
@@ -27,7 +27,7 @@
   return whole === 0 ? '-' : `${((100 * part) / whole).toFixed(1)}%`;
 }
 
-/** Lines of the table, the largest user of tokens first. */
+/** Formats the table, by tokens used in descending order. */
 export function formatUsage(rows: readonly CustomerUsage[]): readonly string[] {
   const sorted = [...rows].sort(
     (a, b) => b.tokens - a.tokens || b.requests - a.requests
